--- a/cmd/cactusproxyd/main.go
+++ b/cmd/cactusproxyd/main.go
@@ -104,7 +104,7 @@
 	defer stop()
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	go settings.Follow(ctx, file, hup, d.Reload)
+	go settings.Watch(ctx, file, hup, d.Reload)
 	if err := d.Run(ctx); err != nil {
 		log.Error("stopped", zap.Error(err))
 		return exitFailed
--- a/controller/quota/fleet_test.go
+++ b/controller/quota/fleet_test.go
@@ -101,7 +101,7 @@
 }
 
 func tableOf(tenants []routing.Tenant) *routing.Table {
-	c := &routing.Config{Version: 1, Keyed: true, Tenants: tenants}
+	c := &routing.Config{Version: 1, RequiresKey: true, Tenants: tenants}
 	return routing.NewTable(c, rand.New(rand.NewPCG(1, 1)))
 }
 
--- a/controller/watch/config_test.go
+++ b/controller/watch/config_test.go
@@ -17,7 +17,7 @@
 	for _, name := range append(names, "last") {
 		c.Routes = append(c.Routes, routing.Route{
 			Name: name, Host: "h", Prefix: "/bids/", Kind: routing.Safe, Timeout: timeout, MaxAttempts: 1,
-			Parts: []routing.Part{{Service: service, Weight: 1}},
+			Split: []routing.WeightedService{{Service: service, Weight: 1}},
 		})
 	}
 	return c
--- a/controller/watch/fleet_test.go
+++ b/controller/watch/fleet_test.go
@@ -90,7 +90,7 @@
 	for v := uint64(1); v <= version; v++ {
 		c.Routes = append(c.Routes, routing.Route{
 			Name: fmt.Sprint("added-", v), Host: callersHost, Prefix: added(v), Kind: routing.Safe,
-			Timeout: time.Second, MaxAttempts: 1, Parts: []routing.Part{{Service: service, Weight: 1}},
+			Timeout: time.Second, MaxAttempts: 1, Split: []routing.WeightedService{{Service: service, Weight: 1}},
 		})
 	}
 	return c
--- a/controller/watch/scale_test.go
+++ b/controller/watch/scale_test.go
@@ -38,7 +38,7 @@
 			Name: fmt.Sprintf("r-%07x", rng.Uint32()>>4), Host: fmt.Sprintf("hulo%d.example", i%40),
 			Prefix: fmt.Sprintf("/leny%x/", rng.Uint32()>>8), Kind: routing.Safe,
 			Timeout: timeout, Objective: 200 * time.Millisecond, Priority: 1, MaxAttempts: 2,
-			Parts: []routing.Part{{Service: service, Weight: 1}},
+			Split: []routing.WeightedService{{Service: service, Weight: 1}},
 		})
 	}
 	return c
--- a/directory/config_test.go
+++ b/directory/config_test.go
@@ -21,7 +21,7 @@
 func routeOf(name, service string) routing.Route {
 	return routing.Route{
 		Name: name, Host: "h", Prefix: "/" + name + "/", Kind: routing.Safe, Timeout: time.Second, MaxAttempts: 1,
-		Parts: []routing.Part{{Service: service, Weight: 1}},
+		Split: []routing.WeightedService{{Service: service, Weight: 1}},
 	}
 }
 
--- a/directory/state.go
+++ b/directory/state.go
@@ -180,7 +180,7 @@
 	}
 	next, err := s.config.Apply(*d)
 	if err != nil {
-		if !errors.Is(err, routing.ErrOtherBase) {
+		if !errors.Is(err, routing.ErrBaseMismatch) {
 			s.refusedConfigs++
 		}
 		return false
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -22,11 +22,11 @@
 		a := l.send(d, http.MethodGet, "/lots/7?x=1", "")
 		assert.NilError(t, a.err)
 		assert.Equal(t, a.status, http.StatusOK)
-		assert.Equal(t, a.body, standin.Answer(a.id, 0))
+		assert.Equal(t, a.body, standin.ResponseBody(a.id, 0))
 		assert.Equal(t, a.header.Get(standin.HeaderSeal), "seal-"+a.id)
 		b := l.send(d, http.MethodPost, "/bids/7", "roses")
 		assert.Equal(t, b.status, http.StatusOK)
-		assert.Equal(t, b.body, standin.Answer(b.id, 5))
+		assert.Equal(t, b.body, standin.ResponseBody(b.id, 5))
 		assert.Equal(t, l.runs(b.id), 1)
 	}
 	assert.Equal(t, l.send(l.daemons[0], http.MethodGet, "/other/", "").status, http.StatusNotFound)
@@ -76,7 +76,7 @@
 func TestLostAnswers(t *testing.T) {
 	l := newLab(t, 1)
 	for _, tg := range l.targets {
-		tg.Lose = func(id string) bool { return strings.HasSuffix(id, "-lost") && l.runs(id) == 1 }
+		tg.LoseResponse = func(id string) bool { return strings.HasSuffix(id, "-lost") && l.runs(id) == 1 }
 	}
 	for i := range 10 {
 		a := l.sendAs(fmt.Sprintf("read%d-lost", i), l.daemons[0], http.MethodGet, "/lots/7", "")
@@ -94,7 +94,7 @@
 	l := newLab(t, 1)
 	for _, tg := range l.targets {
 		var once atomic.Bool
-		tg.Spoil = func(string) int {
+		tg.CorruptStatus = func(string) int {
 			if once.Swap(true) {
 				return 0
 			}
@@ -113,7 +113,7 @@
 	l := newLab(t, 1)
 	statuses := []int{301, 400, 404, 413, 431}
 	for _, tg := range l.targets {
-		tg.Spoil = func(id string) int {
+		tg.CorruptStatus = func(id string) int {
 			_, suffix, _ := strings.Cut(id, "-spoilt-")
 			status, _ := strconv.Atoi(suffix)
 			if l.runs(id) > 1 {
@@ -237,7 +237,7 @@
 		l.list(l.targets[fmt.Sprint("bids-", i)], "draining")
 	}
 	old := l.targets["bids-2"]
-	old.Born = 1000
+	old.StartMillis = 1000
 	l.list(old, "ready")
 	l.list(old, "draining")
 	status := func(want int) func() bool {
--- a/edge/explain_test.go
+++ b/edge/explain_test.go
@@ -70,7 +70,7 @@
 func TestExplainLostAnswer(t *testing.T) {
 	l := newLab(t, 1)
 	for _, tg := range l.targets {
-		tg.Lose = func(string) bool { return true }
+		tg.LoseResponse = func(string) bool { return true }
 	}
 	a := l.send(l.daemons[0], http.MethodPost, "/bids/7", "")
 	assert.Equal(t, a.status, http.StatusBadGateway)
@@ -86,7 +86,7 @@
 	l.store.Set(standin.Fault{Refuse: true})
 	l.await("store lost", func() bool { return strings.Contains(l.logs[0].String(), "store lost") })
 	l.targets["bids-0"].ID = "bids-9"
-	l.targets["bids-0"].Unnamed = true // else a probe shows it, and no bid goes there
+	l.targets["bids-0"].OmitID = true // else a probe shows it, and no bid goes there
 	var a answer
 	l.await("a bid that met it", func() bool {
 		a = l.send(l.daemons[0], http.MethodPost, "/bids/7", "")
--- a/edge/lab_test.go
+++ b/edge/lab_test.go
@@ -122,7 +122,7 @@
 
 // startTarget starts a run of a target and lists it.
 func (l *lab) startTarget(id, service string, born int64) *target {
-	tg := &target{Target: &standin.Target{ID: id, Born: born, Slots: 2, Queue: 4, Work: 20 * time.Millisecond}, service: service, zone: "a"}
+	tg := &target{Target: &standin.Target{ID: id, StartMillis: born, Slots: 2, Queue: 4, Work: 20 * time.Millisecond}, service: service, zone: "a"}
 	tg.server = httptest.NewServer(tg.Target)
 	l.t.Cleanup(func() {
 		tg.server.CloseClientConnections()
--- a/edge/leaving_test.go
+++ b/edge/leaving_test.go
@@ -21,12 +21,12 @@
 
 // browse sends requests through a daemon and returns how many the target got.
 func (l *lab) browse(d *daemon, tg *target, n int) int {
-	before := len(tg.Arrived())
+	before := len(tg.Arrivals())
 	for range n {
 		a := l.send(d, http.MethodGet, "/lots/7", "")
 		assert.Equal(l.t, a.status, http.StatusOK)
 	}
-	return len(tg.Arrived()) - before
+	return len(tg.Arrivals()) - before
 }
 
 // Guards against hosts that go on sending requests to a target which told them that it leaves.
--- a/edge/limit_test.go
+++ b/edge/limit_test.go
@@ -63,7 +63,7 @@
 	t.Logf("served %d, refused %d", served, refused)
 	for _, id := range []string{"lots-0", "lots-1", "lots-2"} {
 		var later []time.Time
-		for _, a := range l.targets[id].Arrived() {
+		for _, a := range l.targets[id].Arrivals() {
 			if a.At.Sub(begin) > stable {
 				later = append(later, a.At)
 			}
--- a/edge/memory_test.go
+++ b/edge/memory_test.go
@@ -34,7 +34,7 @@
 	}
 	l.store.Put("op", "config", standin.Config(2, routes...))
 	for i := range fleetTargets {
-		tg := &standin.Target{ID: fmt.Sprintf("i-%08x", i), Slots: 2, Born: 1_790_000_000_000}
+		tg := &standin.Target{ID: fmt.Sprintf("i-%08x", i), Slots: 2, StartMillis: 1_790_000_000_000}
 		l.store.Put("servers", tg.ID, tg.Entry(fmt.Sprint("service", max(0, i%8-4)), fmt.Sprintf("127.64.%d.%d:8080", i/250, 1+i%250), fmt.Sprint("zone-", i%5), "ready"))
 	}
 	var hosts []directory.Host
--- a/edge/rest_test.go
+++ b/edge/rest_test.go
@@ -13,17 +13,17 @@
 	t.Parallel()
 	l := newLab(t, 2)
 	tg := l.targets["lots-0"]
-	tg.Rest = func() time.Duration { return 1500 * time.Millisecond } // a fraction of a second counts
+	tg.BackOff = func() time.Duration { return 1500 * time.Millisecond } // a fraction of a second counts
 	l.start()                                                         // one that was not there as the target began to ask
 	for _, d := range l.daemons {
-		before := len(tg.Arrived())
+		before := len(tg.Arrivals())
 		for begin := time.Now(); time.Since(begin) < time.Second; {
 			assert.Equal(t, l.send(d, http.MethodGet, "/lots/7", "").status, http.StatusOK, "the others serve")
 		}
-		got := len(tg.Arrived()) - before
+		got := len(tg.Arrivals()) - before
 		assert.Check(t, got >= 1 && got <= 2, "%d requests of one host", got)
 	}
-	tg.Rest = nil
+	tg.BackOff = nil
 	l.await("it is used again", func() bool { return l.browse(l.daemons[0], tg, 10) > 0 })
 }
 
@@ -32,7 +32,7 @@
 	t.Parallel()
 	l := newLab(t, 1)
 	for _, id := range []string{"lots-0", "lots-1", "lots-2"} {
-		l.targets[id].Rest = func() time.Duration { return 2 * time.Second }
+		l.targets[id].BackOff = func() time.Duration { return 2 * time.Second }
 	}
 	d := l.daemons[0]
 	l.send(d, http.MethodGet, "/lots/7", "")
@@ -45,7 +45,7 @@
 	assert.Check(t, time.Since(begin) < 200*time.Millisecond, "%s", time.Since(begin))
 	arrived := 0
 	for _, id := range []string{"lots-0", "lots-1", "lots-2"} {
-		arrived += len(l.targets[id].Arrived())
+		arrived += len(l.targets[id].Arrivals())
 	}
 	assert.Equal(t, arrived, 3)
 }
--- a/edge/restore_test.go
+++ b/edge/restore_test.go
@@ -28,7 +28,7 @@
 func TestChangesAfterTheStoreCameBackFromACopyAreHeeded(t *testing.T) {
 	t.Parallel()
 	l := newLab(t, 2)
-	copied := l.store.Copy()
+	copied := l.store.Snapshot()
 	l.heartbeats(5)
 	l.browse(l.daemons[0], l.targets["lots-0"], 10)
 	l.store.Restore(copied)
@@ -47,7 +47,7 @@
 	t.Parallel()
 	l := newLab(t, 2)
 	l.heartbeats(1)
-	copied := l.store.Copy()
+	copied := l.store.Snapshot()
 	draining, gone := l.targets["lots-0"], l.targets["lots-1"]
 	l.list(draining, "draining")
 	l.store.Remove("servers", gone.ID)
@@ -74,7 +74,7 @@
 	t.Parallel()
 	l := newLab(t, 2)
 	l.moveTo("b", "lots-0", "lots-2", "bids-0", "bids-1", "bids-2")
-	copied := l.store.Copy()
+	copied := l.store.Snapshot()
 	l.store.Put("op", "evacuate/a", []byte("{}"))
 	l.await("the zone is empty", func() bool { return l.idle(l.targets["lots-1"]) })
 	l.store.Restore(copied)
@@ -90,7 +90,7 @@
 func TestHostsAreWrittenDownAgainAfterACopy(t *testing.T) {
 	t.Parallel()
 	l := newLab(t, 1)
-	copied := l.store.Copy()
+	copied := l.store.Snapshot()
 	written := func() bool {
 		for _, r := range l.store.Rows("cactusproxy_hosts") {
 			if strings.Contains(string(r.Value), l.seeds[0]) {
--- a/edge/tenant_test.go
+++ b/edge/tenant_test.go
@@ -20,7 +20,7 @@
 }
 
 func (l *lab) configureTenants(version uint64, tenants []standin.Tenant) {
-	l.store.Put("op", "config", standin.KeyedConfig(version, tenants, l.routes()...))
+	l.store.Put("op", "config", standin.ConfigWithTenants(version, tenants, l.routes()...))
 }
 
 // sendWith sends a request with an API key.
--- a/entry/denial_test.go
+++ b/entry/denial_test.go
@@ -28,7 +28,7 @@
 func smallBodies(version uint64) *routing.Config {
 	return &routing.Config{
 		Version:  version,
-		Routes:   []routing.Route{{Name: "lots", Host: "auction.example", Prefix: "/lots/", Kind: routing.Upload, Timeout: time.Second, Parts: []routing.Part{{Service: "lots", Weight: 1}}}},
+		Routes:   []routing.Route{{Name: "lots", Host: "auction.example", Prefix: "/lots/", Kind: routing.Upload, Timeout: time.Second, Split: []routing.WeightedService{{Service: "lots", Weight: 1}}}},
 		Services: []routing.Service{{Name: "lots"}},
 		Limits:   routing.Limits{MaxBodyBytes: 10},
 	}
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -86,10 +86,10 @@
 	if !ok {
 		return found{}, outcome.ReasonNoRoute
 	}
-	if m.Route.Public || !table.Config.Keyed {
+	if m.Route.Public || !table.Config.RequiresKey {
 		return found{Match: m}, ""
 	}
-	tenant := table.Holder(a.Key)
+	tenant := table.TenantByKey(a.Key)
 	if tenant == nil {
 		return found{}, outcome.ReasonUnknownKey
 	}
@@ -98,7 +98,7 @@
 
 func (f *RouteFinder) match(table *routing.Table, a Address, m found) (Match, outcome.Result) {
 	repeat := dispatch.Once
-	if m.Route.Kind.Repeatable() {
+	if m.Route.Kind.Retryable() {
 		repeat = dispatch.Idempotent
 	}
 	service, learned := f.service(table, m.Match)
@@ -120,7 +120,7 @@
 	}
 	out.Tenant = m.tenant.Name
 	out.Allowed = f.allowed(table, a.Key, m.tenant.Name)
-	if m.tenant.Priority != routing.RoutePriority {
+	if m.tenant.Priority != routing.InheritPriority {
 		out.Priority = m.tenant.Priority
 	}
 	regions, some := both(m.Route.Regions, m.tenant.Regions)
@@ -138,8 +138,8 @@
 		if table == then {
 			return true
 		}
-		holder := table.Holder(key)
-		return !table.Config.Keyed || holder != nil && holder.Name == tenant
+		holder := table.TenantByKey(key)
+		return !table.Config.RequiresKey || holder != nil && holder.Name == tenant
 	}
 }
 
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -273,7 +273,7 @@
 	s, d, board := newServer(t)
 	board.Routes.Store(routing.NewTable(&routing.Config{
 		Version:  1,
-		Routes:   []routing.Route{{Name: "r", Host: "a.example", Prefix: "/", Kind: routing.Safe, Timeout: time.Second, Objective: time.Second, Parts: []routing.Part{{Service: "s", Weight: 1}}}},
+		Routes:   []routing.Route{{Name: "r", Host: "a.example", Prefix: "/", Kind: routing.Safe, Timeout: time.Second, Objective: time.Second, Split: []routing.WeightedService{{Service: "s", Weight: 1}}}},
 		Services: []routing.Service{{Name: "s"}},
 	}, rand.New(rand.NewPCG(1, 1))))
 	s.deps.Finder = NewRouteFinder(board, nobody{})
--- a/entry/tenant_test.go
+++ b/entry/tenant_test.go
@@ -29,13 +29,13 @@
 
 // tenantsConfig has a public route, and tenants for the others.
 func tenantsConfig(version uint64, tenants ...routing.Tenant) *routing.Config {
-	parts := []routing.Part{{Service: "lots", Weight: 1}}
+	parts := []routing.WeightedService{{Service: "lots", Weight: 1}}
 	return &routing.Config{
 		Version: version,
-		Keyed:   true,
+		RequiresKey:   true,
 		Routes: []routing.Route{
-			{Name: "lots", Host: "auction.example", Prefix: "/lots/", Kind: routing.Safe, Priority: 2, Timeout: time.Second, Parts: parts},
-			{Name: "home", Host: "auction.example", Prefix: "/home/", Kind: routing.Safe, Public: true, Timeout: time.Second, Parts: parts},
+			{Name: "lots", Host: "auction.example", Prefix: "/lots/", Kind: routing.Safe, Priority: 2, Timeout: time.Second, Split: parts},
+			{Name: "home", Host: "auction.example", Prefix: "/home/", Kind: routing.Safe, Public: true, Timeout: time.Second, Split: parts},
 		},
 		Services: []routing.Service{{Name: "lots"}},
 		Tenants:  tenants,
@@ -43,7 +43,7 @@
 }
 
 func tenant(name string, keys ...string) routing.Tenant {
-	t := routing.Tenant{Name: name, Priority: routing.RoutePriority}
+	t := routing.Tenant{Name: name, Priority: routing.InheritPriority}
 	for _, k := range keys {
 		d, _ := routing.DigestKey(k)
 		t.Keys = append(t.Keys, d)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -33,7 +33,7 @@
 	switch {
 	case r.err != nil:
 		s.checkCut(r)
-	case r.status == http.StatusOK && r.body != standin.Answer(r.id, r.size):
+	case r.status == http.StatusOK && r.body != standin.ResponseBody(r.id, r.size):
 		s.broken("request %s: another's or half an answer: %q", r.id, r.body)
 	case r.status == http.StatusOK && r.seal != "seal-"+r.id:
 		s.broken("request %s: success without its seal", r.id)
@@ -170,7 +170,7 @@
 		if b.drainAt.IsZero() {
 			continue
 		}
-		for id, at := range b.Began() {
+		for id, at := range b.StartTimes() {
 			r := byID[id]
 			if r == nil || at.Before(b.drainAt.Add(inForce)) || r.at.Before(b.drainAt.Add(inForce)) {
 				continue
--- a/internal/soak/disturb.go
+++ b/internal/soak/disturb.go
@@ -289,7 +289,7 @@
 
 func (s *Soak) scribble(_ context.Context, rng *rand.Rand) string {
 	b := s.anyTarget(rng)
-	foreign := standin.ForeignEntries()
+	foreign := standin.InvalidEntries()
 	text := foreign[rng.IntN(len(foreign))]
 	s.targets.scribble(b, text, rng.IntN(2) == 0)
 	return b.ID + " " + text
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -38,7 +38,7 @@
 		if b.zone != nearZone {
 			continue
 		}
-		for id, at := range b.Began() {
+		for id, at := range b.StartTimes() {
 			if r := byID[id]; r != nil && s.sentAgainstOrder(r, at) {
 				s.broken("request %s: run by %s of an evacuated zone", id, b.ID)
 			}
--- a/internal/soak/needs.go
+++ b/internal/soak/needs.go
@@ -123,7 +123,7 @@
 // arrivals are those of a target, in their order, but for requests of hosts that were disturbed
 // around them.
 func (s *Soak) arrivals(b *backend, byID map[string]*sent) (list []arrival) {
-	for _, a := range b.Arrived() {
+	for _, a := range b.Arrivals() {
 		r := byID[a.ID]
 		if r != nil && r.process.generation() >= r.run && !s.otherwiseDisturbed(r.process, r) {
 			list = append(list, arrival{sent: r, by: hostRun{r.process, r.run}, at: a.At})
--- a/internal/soak/targets.go
+++ b/internal/soak/targets.go
@@ -65,13 +65,13 @@
 		return err
 	}
 	b := &backend{
-		Target:  &standin.Target{ID: id, Born: time.Now().UnixMilli(), Slots: targetSlots, Queue: targetQueue, Work: targetWork},
+		Target:  &standin.Target{ID: id, StartMillis: time.Now().UnixMilli(), Slots: targetSlots, Queue: targetQueue, Work: targetWork},
 		service: service,
 		zone:    zone,
 		wire:    wire,
 	}
-	b.Lose, b.Spoil = b.losing, spoiling
-	b.Limit, b.Rest, b.Leaving = b.needs.namedLimit, b.needs.askedRest, b.needs.saysLeaving
+	b.LoseResponse, b.CorruptStatus = b.losing, spoiling
+	b.Limit, b.BackOff, b.Leaving = b.needs.namedLimit, b.needs.askedRest, b.needs.saysLeaving
 	b.server = &http.Server{Handler: b.Target, ReadHeaderTimeout: time.Minute}
 	t.mu.Lock()
 	t.list = append(t.list, b)
--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -29,7 +29,7 @@
 			Timeout:     3 * time.Second,
 			Objective:   300 * time.Millisecond,
 			MaxAttempts: 3,
-			Parts:       []Part{{Service: fmt.Sprintf("service%d", i%100), Weight: 1}},
+			Split:       []WeightedService{{Service: fmt.Sprintf("service%d", i%100), Weight: 1}},
 		})
 	}
 	return c
--- a/routing/check.go
+++ b/routing/check.go
@@ -38,7 +38,7 @@
 		return errors.New("no timeout")
 	}
 	total := 0.0
-	for _, p := range r.Parts {
+	for _, p := range r.Split {
 		if !services[p.Service] {
 			return errors.Newf("unknown service %q", p.Service)
 		}
--- a/routing/config.go
+++ b/routing/config.go
@@ -25,8 +25,8 @@
 	Unknown
 )
 
-// Repeatable reports whether requests of the kind may run more than once.
-func (k Kind) Repeatable() bool { return k == Safe || k == Download }
+// Retryable reports whether requests of the kind may run more than once.
+func (k Kind) Retryable() bool { return k == Safe || k == Download }
 
 // String returns the name of the kind in logs.
 func (k Kind) String() string {
@@ -54,8 +54,8 @@
 	Routes   []Route   `msgpack:"routes"`
 	Services []Service `msgpack:"services"`
 	Limits   Limits    `msgpack:"limits"`
-	// Keyed is set if requests need the key of a tenant, but for those of public routes.
-	Keyed   bool     `msgpack:"keyed"`
+	// RequiresKey is set if requests need the key of a tenant, but for those of public routes.
+	RequiresKey   bool     `msgpack:"keyed"`
 	Tenants []Tenant `msgpack:"tenants"`
 }
 
@@ -90,12 +90,12 @@
 	MaxAttempts int `msgpack:"max_attempts"`
 	// Regions are the only ones whose targets may get the requests; all if empty.
 	Regions []string `msgpack:"regions"`
-	// Parts has one entry for each service that takes a share of the requests.
-	Parts []Part `msgpack:"parts"`
+	// Split has one entry for each service that takes a share of the requests.
+	Split []WeightedService `msgpack:"parts"`
 }
 
-// Part is a service's share of a route.
-type Part struct {
+// WeightedService is a service's share of a route.
+type WeightedService struct {
 	Service string  `msgpack:"service"`
 	Weight  float64 `msgpack:"weight"`
 }
--- a/routing/delta.go
+++ b/routing/delta.go
@@ -23,7 +23,7 @@
 	DropTenants []string  `msgpack:"drop_tenants"`
 	Services    []Service `msgpack:"services"`
 	Limits      Limits    `msgpack:"limits"`
-	Keyed       bool      `msgpack:"keyed"`
+	RequiresKey       bool      `msgpack:"keyed"`
 	// Digest is that of the configuration that the delta leads to; 0 if not told, as by
 	// hosts whose program lacks it.
 	Digest uint64 `msgpack:"digest_3"`
@@ -31,10 +31,10 @@
 
 // Reasons why a delta is not applied, to be tested with errors.Is.
 var (
-	// ErrOtherBase says that a delta does not begin at the configuration at hand.
-	ErrOtherBase = errors.New("delta begins at another configuration")
-	// ErrOtherResult says that a delta leads to another configuration than its sender has.
-	ErrOtherResult = errors.New("delta leads to another configuration")
+	// ErrBaseMismatch says that a delta does not begin at the configuration at hand.
+	ErrBaseMismatch = errors.New("delta begins at another configuration")
+	// ErrDigestMismatch says that a delta leads to another configuration than its sender has.
+	ErrDigestMismatch = errors.New("delta leads to another configuration")
 )
 
 // Diff returns what leads from one configuration to another.
@@ -44,7 +44,7 @@
 		Version:  to.Version,
 		Services: to.Services,
 		Limits:   to.Limits,
-		Keyed:    to.Keyed,
+		RequiresKey:    to.RequiresKey,
 		Digest:   to.Digest(),
 	}
 	d.Put, d.Drop = differing(to.Routes, routeName, routeMarks(from.Routes), routeMarks(to.Routes))
@@ -80,21 +80,21 @@
 // this host alone would lack routes. It keeps what it has and is soon told everything.
 func (c *Config) Apply(d Delta) (*Config, error) {
 	if c == nil || c.Version != d.Base {
-		return nil, ErrOtherBase
+		return nil, ErrBaseMismatch
 	}
-	if c.Keyed && d.Digest == 0 {
-		return nil, ErrOtherResult // a sender that knows no tenants would open all routes
+	if c.RequiresKey && d.Digest == 0 {
+		return nil, ErrDigestMismatch // a sender that knows no tenants would open all routes
 	}
 	next := &Config{
 		Version:  d.Version,
 		Routes:   merged(c.Routes, routeName, d.Put, d.Drop),
 		Services: d.Services,
 		Limits:   d.Limits,
-		Keyed:    d.Keyed,
+		RequiresKey:    d.RequiresKey,
 		Tenants:  merged(c.Tenants, tenantName, d.PutTenants, d.DropTenants),
 	}
 	if d.Digest != 0 && next.Digest() != d.Digest {
-		return nil, ErrOtherResult
+		return nil, ErrDigestMismatch
 	}
 	return next, next.Check()
 }
--- a/routing/delta_test.go
+++ b/routing/delta_test.go
@@ -21,7 +21,7 @@
 		c.Routes = append(c.Routes, Route{
 			Name: fmt.Sprintf("r%d", i), Host: "h", Prefix: "/", Kind: Safe,
 			Timeout: time.Duration(1+rng.IntN(3)) * time.Second, MaxAttempts: 1 + rng.IntN(2),
-			Parts: []Part{{Service: []string{"a", "b"}[rng.IntN(2)], Weight: 1}},
+			Split: []WeightedService{{Service: []string{"a", "b"}[rng.IntN(2)], Weight: 1}},
 		})
 	}
 	return c
@@ -49,6 +49,6 @@
 	d := Diff(randomConfig(rng, 3), randomConfig(rng, 7))
 	for _, c := range []*Config{nil, randomConfig(rng, 2), randomConfig(rng, 7)} {
 		_, err := c.Apply(d)
-		assert.Check(t, errors.Is(err, ErrOtherBase))
+		assert.Check(t, errors.Is(err, ErrBaseMismatch))
 	}
 }
--- a/routing/digest.go
+++ b/routing/digest.go
@@ -56,7 +56,7 @@
 	b = binary.AppendVarint(b, int64(r.MaxAttempts))
 	b = appendBool(b, r.Public)
 	b = appendTexts(b, r.Regions)
-	for _, p := range r.Parts {
+	for _, p := range r.Split {
 		b = appendText(b, p.Service)
 		b = appendNumber(b, p.Weight)
 	}
@@ -80,7 +80,7 @@
 // appendRest appends all that a configuration says beside its routes and tenants.
 func (c *Config) appendRest(b []byte) []byte {
 	b = binary.AppendUvarint(b, c.Version)
-	b = appendBool(b, c.Keyed)
+	b = appendBool(b, c.RequiresKey)
 	b = binary.AppendUvarint(b, uint64(len(c.Services)))
 	for _, s := range c.Services {
 		b = appendText(b, s.Name)
--- a/routing/digest_test.go
+++ b/routing/digest_test.go
@@ -17,10 +17,10 @@
 		Version: 7,
 		Routes: []Route{{
 			Name: "r", Host: "h", Prefix: "/a/", Kind: Safe, Timeout: 3 * time.Second, Objective: time.Second,
-			Priority: 1, MaxAttempts: 2, Parts: []Part{{Service: "a", Weight: 1.5}, {Service: "b", Weight: 1}},
+			Priority: 1, MaxAttempts: 2, Split: []WeightedService{{Service: "a", Weight: 1.5}, {Service: "b", Weight: 1}},
 			Regions: []string{"s"}, Public: true,
 		}},
-		Keyed: true,
+		RequiresKey: true,
 		Tenants: []Tenant{{
 			Name: "t", Keys: []KeyDigest{{1, 2}}, Priority: 2, Rate: 1.5, Burst: 3, Regions: []string{"s"},
 		}},
@@ -106,7 +106,7 @@
 	next := &Config{Version: 2, Routes: []Route{route("x", "h", "/a/", "b"), y}, Services: services}
 	d := Diff(theirs, next)
 	_, err := ours.Apply(d)
-	assert.Check(t, errors.Is(err, ErrOtherResult), "%v", err)
+	assert.Check(t, errors.Is(err, ErrDigestMismatch), "%v", err)
 	_, err = theirs.Apply(d)
 	assert.NilError(t, err)
 }
@@ -145,7 +145,7 @@
 // openConfig is one without tenants, as programs know it that lack them.
 func openConfig() *Config {
 	c := fullConfig()
-	c.Keyed, c.Tenants = false, nil
+	c.RequiresKey, c.Tenants = false, nil
 	c.Routes[0].Public = false
 	return c
 }
@@ -155,9 +155,9 @@
 	from, next := fullConfig(), fullConfig()
 	next.Version = 8
 	d := Diff(from, next)
-	d.Keyed, d.Digest = false, 0
+	d.RequiresKey, d.Digest = false, 0
 	_, err := from.Apply(d)
-	assert.Check(t, errors.Is(err, ErrOtherResult), "%v", err)
+	assert.Check(t, errors.Is(err, ErrDigestMismatch), "%v", err)
 }
 
 // A tenant whose only change is in one field must travel.
--- a/routing/hosts_test.go
+++ b/routing/hosts_test.go
@@ -36,7 +36,7 @@
 		MaxAttempts: 1 + rng.IntN(2),
 	}
 	for range 1 + rng.IntN(2) {
-		r.Parts = append(r.Parts, Part{Service: oneOf(rng, someServices), Weight: float64(1 + rng.IntN(2))})
+		r.Split = append(r.Split, WeightedService{Service: oneOf(rng, someServices), Weight: float64(1 + rng.IntN(2))})
 	}
 	return r
 }
@@ -70,7 +70,7 @@
 	func(rng *rand.Rand, c *Config) { c.Routes[rng.IntN(len(c.Routes))].Name = oneOf(rng, someNames) },
 	func(rng *rand.Rand, c *Config) { c.Routes[rng.IntN(len(c.Routes))].Host = oneOf(rng, someHosts) },
 	func(rng *rand.Rand, c *Config) { c.Routes[rng.IntN(len(c.Routes))].Prefix = oneOf(rng, somePrefixes) },
-	func(rng *rand.Rand, c *Config) { c.Routes[rng.IntN(len(c.Routes))].Parts = anyRoute(rng).Parts },
+	func(rng *rand.Rand, c *Config) { c.Routes[rng.IntN(len(c.Routes))].Split = anyRoute(rng).Split },
 	func(rng *rand.Rand, c *Config) { // two trade what they are, but for their names
 		a, b := &c.Routes[rng.IntN(len(c.Routes))], &c.Routes[rng.IntN(len(c.Routes))]
 		*a, *b = *b, *a
@@ -79,7 +79,7 @@
 	func(rng *rand.Rand, c *Config) { // one becomes what another was, which changes
 		a, b := &c.Routes[rng.IntN(len(c.Routes))], &c.Routes[rng.IntN(len(c.Routes))]
 		*a = *b
-		b.Parts = anyRoute(rng).Parts
+		b.Split = anyRoute(rng).Split
 	},
 	func(rng *rand.Rand, c *Config) { // a service changes, or their order
 		c.Services[rng.IntN(len(c.Services))].MaxConns = rng.IntN(3)
@@ -118,7 +118,7 @@
 				continue
 			}
 			line := fmt.Sprintf("%s%s: %+v", host, path, *m.Route)
-			for _, p := range m.Route.Parts {
+			for _, p := range m.Route.Split {
 				line += fmt.Sprintf(" %+v", *table.Service(p.Service))
 			}
 			out = append(out, line)
@@ -179,7 +179,7 @@
 func route(name, host, prefix, service string) Route {
 	return Route{
 		Name: name, Host: host, Prefix: prefix, Kind: Safe,
-		Timeout: time.Second, MaxAttempts: 1, Parts: to(service),
+		Timeout: time.Second, MaxAttempts: 1, Split: to(service),
 	}
 }
 
@@ -241,7 +241,7 @@
 		case field.Type() == reflect.TypeFor[[]string]():
 			field.Set(reflect.ValueOf([]string{"b"}))
 		default:
-			field.Set(reflect.ValueOf([]Part{{Service: "a", Weight: 2}}))
+			field.Set(reflect.ValueOf([]WeightedService{{Service: "a", Weight: 2}}))
 		}
 		next := &Config{Version: 2, Routes: []Route{r}, Services: base.Services}
 		got, err := base.Apply(sent(t, Diff(base, next)))
--- a/routing/table.go
+++ b/routing/table.go
@@ -63,9 +63,9 @@
 //
 // Check accepts no route to a service that is not there: its callers would be told 404.
 func (t *Table) newEntry(r *Route, rng *rand.Rand) *entry {
-	invariant.Check(len(r.Parts) > 0, invariant.RouteService, "route=%s has no part", r.Name)
-	e := &entry{route: r, services: make([]*Service, len(r.Parts)), split: newSplit(r.Parts, rng)}
-	for i, p := range r.Parts {
+	invariant.Check(len(r.Split) > 0, invariant.RouteService, "route=%s has no part", r.Name)
+	e := &entry{route: r, services: make([]*Service, len(r.Split)), split: newSplit(r.Split, rng)}
+	for i, p := range r.Split {
 		e.services[i] = t.byName[p.Service]
 		invariant.Check(e.services[i] != nil, invariant.RouteService, "route=%s service=%s", r.Name, p.Service)
 	}
@@ -125,7 +125,7 @@
 	credit []float64
 }
 
-func newSplit(parts []Part, rng *rand.Rand) split {
+func newSplit(parts []WeightedService, rng *rand.Rand) split {
 	s := split{mu: new(sync.Mutex), shares: make([]float64, len(parts)), credit: make([]float64, len(parts))}
 	total := 0.0
 	for _, p := range parts {
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -18,13 +18,13 @@
 	return NewTable(c, rand.New(rand.NewPCG(1, 2)))
 }
 
-func to(service string) []Part { return []Part{{Service: service, Weight: 1}} }
+func to(service string) []WeightedService { return []WeightedService{{Service: service, Weight: 1}} }
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
 	tb := table(
-		Route{Name: "r1", Host: "one.example", Prefix: "/", Parts: to("a")},
-		Route{Name: "r2", Host: "one.example", Prefix: "/lots/", Parts: to("b")},
-		Route{Name: "r3", Host: "two.example", Prefix: "/bids/", Parts: to("a")},
+		Route{Name: "r1", Host: "one.example", Prefix: "/", Split: to("a")},
+		Route{Name: "r2", Host: "one.example", Prefix: "/lots/", Split: to("b")},
+		Route{Name: "r3", Host: "two.example", Prefix: "/bids/", Split: to("a")},
 	)
 	for _, tc := range []struct{ host, path, want string }{
 		{"one.example", "/lots/7", "r2"},
@@ -47,13 +47,13 @@
 // than declared if all hosts begin with the same one.
 func TestSplitKeepsProportionsOverManyHosts(t *testing.T) {
 	const hosts, each = 14, 25
-	parts := []Part{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
+	parts := []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		toB := 0
 		for range hosts {
 			tb := NewTable(&Config{
-				Routes:   []Route{{Host: "h", Prefix: "/", Parts: parts}},
+				Routes:   []Route{{Host: "h", Prefix: "/", Split: parts}},
 				Services: []Service{{Name: "a"}, {Name: "b"}},
 			}, rng)
 			for range each {
@@ -72,7 +72,7 @@
 // checked, so that this can not be; if it is, the process stops in place of telling
 // callers what is not true.
 func TestTableOfARouteWithoutItsServiceBreaksTheInvariant(t *testing.T) {
-	for name, parts := range map[string][]Part{
+	for name, parts := range map[string][]WeightedService{
 		"one part":       to("missing"),
 		"the first part": {{Service: "missing", Weight: 1}, {Service: "a", Weight: 1}},
 		"the last part":  {{Service: "a", Weight: 1}, {Service: "missing", Weight: 1}},
@@ -84,7 +84,7 @@
 			defer func() {
 				assert.Check(t, strings.Contains(fmt.Sprint(recover()), "route-service"))
 			}()
-			table(Route{Name: "r", Host: "h", Prefix: "/", Parts: parts})
+			table(Route{Name: "r", Host: "h", Prefix: "/", Split: parts})
 		})
 	}
 }
@@ -104,7 +104,7 @@
 			m, ok := tb.Find(r.Host, r.Prefix)
 			assert.Assert(t, ok, "seed %d", seed)
 			assert.Equal(t, m.Route.Prefix, r.Prefix)
-			named := slices.ContainsFunc(m.Route.Parts, func(p Part) bool { return p.Service == m.Service.Name })
+			named := slices.ContainsFunc(m.Route.Split, func(p WeightedService) bool { return p.Service == m.Service.Name })
 			assert.Check(t, named, "seed %d: %q is no service of %q", seed, m.Service.Name, m.Route.Name)
 		}
 	}
--- a/routing/tenant.go
+++ b/routing/tenant.go
@@ -27,8 +27,8 @@
 	return d, true
 }
 
-// RoutePriority is the priority of a tenant whose requests have that of their routes.
-const RoutePriority = -1
+// InheritPriority is the priority of a tenant whose requests have that of their routes.
+const InheritPriority = -1
 
 // Tenant is a customer of the operator: it is known by its keys and has a quota.
 type Tenant struct {
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// Holder returns the tenant that holds a key, or nil.
-func (t *Table) Holder(key string) *Tenant {
+// TenantByKey returns the tenant that holds a key, or nil.
+func (t *Table) TenantByKey(key string) *Tenant {
 	d, ok := DigestKey(key)
 	if !ok {
 		return nil
--- a/routing/tenant_test.go
+++ b/routing/tenant_test.go
@@ -21,7 +21,7 @@
 
 // tenantsConfig is a configuration with some tenants alone.
 func tenantsConfig(tenants ...Tenant) *Config {
-	return &Config{Version: 1, Keyed: true, Tenants: tenants}
+	return &Config{Version: 1, RequiresKey: true, Tenants: tenants}
 }
 
 func tableOf(t testing.TB, c *Config) *Table {
@@ -39,10 +39,10 @@
 		Tenant{Name: "c", Keys: digestsOf(long)},
 	))
 	for key, want := range map[string]string{"key-1": "a", "key-2": "a", "key-3": "b", long: "c"} {
-		assert.Equal(t, tb.Holder(key).Name, want)
+		assert.Equal(t, tb.TenantByKey(key).Name, want)
 	}
 	for _, key := range []string{"", "key-", "key-11", "KEY-1", " key-1", "none", long[1:]} {
-		assert.Check(t, tb.Holder(key) == nil, "%.20q", key)
+		assert.Check(t, tb.TenantByKey(key) == nil, "%.20q", key)
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 	tb := tableOf(t, tenantsConfig(tenants...))
 	for i := range tenants {
-		assert.Equal(t, tb.Holder(fmt.Sprint("l", i)).Name, tenants[i].Name)
+		assert.Equal(t, tb.TenantByKey(fmt.Sprint("l", i)).Name, tenants[i].Name)
 	}
 }
 
@@ -79,6 +79,6 @@
 	tb := tableOf(b, tenantsConfig(tenants...))
 	b.ReportAllocs()
 	for b.Loop() {
-		tb.Holder("key-of-tenant-777")
+		tb.TenantByKey("key-of-tenant-777")
 	}
 }
--- a/settings/follow.go
+++ b/settings/follow.go
@@ -20,9 +20,9 @@
 	Err      error
 }
 
-// Follow reads a file again when a signal comes, and when its content has changed,
+// Watch reads a file again when a signal comes, and when its content has changed,
 // until ctx ends. A signal is reported also if nothing changed.
-func Follow(ctx context.Context, file string, signals <-chan os.Signal, report func(Change)) {
+func Watch(ctx context.Context, file string, signals <-chan os.Signal, report func(Change)) {
 	tick := time.NewTicker(followEvery)
 	defer tick.Stop()
 	last, _ := os.ReadFile(file) // a file that can not be read is reported below
--- a/settings/follow_test.go
+++ b/settings/follow_test.go
@@ -31,7 +31,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		signals := make(chan os.Signal, 1)
 		var got []Change
-		go Follow(ctx, file, signals, func(c Change) { got = append(got, c) })
+		go Watch(ctx, file, signals, func(c Change) { got = append(got, c) })
 		synctest.Wait()
 		signals <- syscall.SIGHUP
 		synctest.Wait()
