--- a/edge/early_test.go
+++ b/edge/early_test.go
@@ -16,10 +16,10 @@
 	"github.com/cactusproxy/cactusproxy/platform/standin"
 )
 
-// earlyTarget answers uploads before it has read them, and reads on.
-type earlyTarget struct{ *standin.Target }
+// earlyResponder responds to uploads before it has read the body, and then reads the rest.
+type earlyResponder struct{ *standin.Target }
 
-func (e earlyTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e earlyResponder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodPost {
 		e.Target.ServeHTTP(w, r)
 		return
@@ -35,13 +35,13 @@
 	_, _ = io.Copy(io.Discard, r.Body)
 }
 
-// A caller's uploads are answered early, and after each it sends a proper request, on the
-// same connection unless it was told that this one is closed. All are served: none is
-// answered 400 by net/http, which would take the rest of an upload for a request.
+// A target responds to an upload before the whole body has arrived, and the client sends its
+// next request on the same connection unless the response closed it. Guards against the rest of
+// the upload being parsed as a request, which net/http rejects with status 400.
 func TestRequestsBetweenUploadsAnsweredEarlyAreServed(t *testing.T) {
-	l := newLab(t, 1)
+	l := newLocalCluster(t, 1)
 	tg := &standin.Target{ID: "early-0", Slots: 8, Queue: 8, Work: time.Millisecond}
-	server := httptest.NewServer(earlyTarget{tg})
+	server := httptest.NewServer(earlyResponder{tg})
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
@@ -51,18 +51,18 @@
 	l.await("the route", func() bool { return l.send(l.daemons[0], http.MethodGet, "/early/", "").status == http.StatusOK })
 	statuses := make(map[int]int)
 	for i := range 20 {
-		statuses[l.afterUpload(i)]++
+		statuses[l.statusAfterUpload(i)]++
 	}
 	assert.DeepEqual(t, statuses, map[int]int{http.StatusOK: 20})
 	assert.Equal(t, l.daemons[0].Metrics().Map("answers_of_http").String(), "{}")
 }
 
-// afterUpload returns the status of a request that follows an upload in chunks, 0 if its
-// connection ends.
-func (l *lab) afterUpload(i int) int {
+// statusAfterUpload returns the status of a request that follows a chunked upload, or 0 if the
+// connection is closed.
+func (l *localCluster) statusAfterUpload(i int) int {
 	conn, r := l.dial()
 	chunk := fmt.Sprintf("%x\r\n%s\r\n", 64<<10, strings.Repeat("x", 64<<10))
-	const chunks = 40 // 2.5 MiB: more than is kept for another attempt
+	const chunks = 40 // 2.5 MiB: more than is buffered for a retry
 	_, err := fmt.Fprintf(conn, "POST /early/ HTTP/1.1\r\nHost: %s\r\n%s: up%d\r\nTransfer-Encoding: chunked\r\n\r\n%s",
 		hostName, standin.HeaderRequestID, i, strings.Repeat(chunk, chunks))
 	assert.NilError(l.t, err)
@@ -70,7 +70,7 @@
 	assert.NilError(l.t, err)
 	_, err = io.Copy(io.Discard, resp.Body)
 	assert.NilError(l.t, err)
-	_, _ = io.WriteString(conn, chunk+"0\r\n\r\n") // may be closed by now
+	_, _ = io.WriteString(conn, chunk+"0\r\n\r\n") // the connection may be closed by now
 	if resp.Close {
 		conn, r = l.dial()
 	}
@@ -82,7 +82,7 @@
 	return resp.StatusCode
 }
 
-func (l *lab) dial() (net.Conn, *bufio.Reader) {
+func (l *localCluster) dial() (net.Conn, *bufio.Reader) {
 	conn, err := net.Dial("tcp", l.daemons[0].CallersAddr())
 	assert.NilError(l.t, err)
 	l.t.Cleanup(func() { _ = conn.Close() })
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -1,10 +1,15 @@
-// Package edge is the daemon for platforms that keep one record of routes and
-// targets for all hosts. It shares the request path (entry, dispatch, upstream),
-// the peer link, quarantine and the graceful stop with the daemon of package
-// cactusproxy. Instead of configuration, membership and grants over the platform's
-// table it has a watch that few hosts keep for all, and targets are chosen by what
-// they tell at that moment. Nothing runs that such a platform has no use for:
-// claims of idempotency keys, leases of the measuring budget, operators' changes.
+// Package edge is the proxy daemon for platforms that publish one directory of routes and
+// targets for all hosts.
+//
+// It shares the request path (packages entry, dispatch and upstream), the peer link,
+// quarantine and graceful shutdown with the daemon of package cactusproxy. It differs in how
+// state reaches a host and how targets are chosen: a few hosts watch the directory and forward
+// its changes to all others, and targets are picked by the load that they report at that
+// moment. The other daemon keeps configuration, membership and slot grants in the platform's
+// table instead.
+//
+// Features that such a platform has no use for are not started: claims of idempotency keys,
+// leases of the probe budget and configuration changes by operators.
 package edge
 
 import (
@@ -31,16 +36,18 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// Platform is what a daemon needs from the platform.
+// Platform adapts a daemon to the platform that it runs on.
 type Platform struct {
-	// Directory opens the platform's record for a daemon with these counters and log.
+	// Directory opens the platform's directory of routes and targets. The source counts in m
+	// and logs to log.
 	Directory func(m *metrics.Set, log *zap.Logger) directory.Source
-	Contract  *targetapi.Contract
-	// ReadyPath is where the platform's balancer asks for readiness.
+	// Contract names the HTTP headers that the platform's callers and targets use.
+	Contract *targetapi.Contract
+	// ReadyPath is the path of the readiness check of the platform's load balancer.
 	ReadyPath string
 }
 
-// Daemon is one entry host.
+// Daemon is the proxy process of one host. Create it with New and start it with Run.
 type Daemon struct {
 	settings    *settings.Settings
 	platform    Platform
@@ -61,13 +68,13 @@
 	picker     *backpressure.Picker
 	leave      *leave.Controller
 
-	callers   daemon.Callers
-	answers   *entry.OwnAnswers
-	readiness *http.Server
-	operators *http.Server
+	callers    daemon.Callers
+	ownAnswers *entry.OwnAnswers
+	readiness  *http.Server
+	operators  *http.Server
 }
 
-// listeners are open from New on, so that a port that is taken shows at once.
+// listeners are opened by New, so that a port in use is reported before Run.
 type listeners struct {
 	callers   net.Listener
 	readiness net.Listener
@@ -75,8 +82,8 @@
 	peers     net.Listener
 }
 
-// New makes a daemon and opens its listeners. A daemon that is not run must be
-// closed.
+// New returns a daemon with its listeners open. A daemon that is never run must be released
+// with Close.
 func New(s *settings.Settings, p Platform, log *zap.Logger) (*Daemon, error) {
 	d := &Daemon{
 		settings:    s,
@@ -95,7 +102,7 @@
 	return d, nil
 }
 
-// Close frees what New took. Run does so by itself when it ends.
+// Close releases the resources that New acquired. Run calls it before it returns.
 func (d *Daemon) Close() {
 	for i := len(d.cleanup) - 1; i >= 0; i-- {
 		d.cleanup[i]()
@@ -103,17 +110,17 @@
 	d.cleanup = nil
 }
 
-// Board returns the daemon's blackboard, for reading.
+// Board returns the daemon's shared state. The caller must not modify it.
 func (d *Daemon) Board() *blackboard.Board { return d.board }
 
 // Metrics returns the daemon's counters.
 func (d *Daemon) Metrics() *metrics.Set { return d.metrics }
 
-// CallersAddr returns the address that callers use.
+// CallersAddr returns the listen address for client traffic.
 func (d *Daemon) CallersAddr() string { return d.listeners.callers.Addr().String() }
 
-// ReadinessAddr returns the address that the platform's balancer uses.
+// ReadinessAddr returns the listen address for readiness checks.
 func (d *Daemon) ReadinessAddr() string { return d.listeners.readiness.Addr().String() }
 
-// PeersAddr returns the address that other entry hosts use.
+// PeersAddr returns the listen address for other proxy hosts.
 func (d *Daemon) PeersAddr() string { return d.listeners.peers.Addr().String() }
--- a/edge/edge_test.go
+++ b/edge/edge_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestWholePath(t *testing.T) {
-	l := newLab(t, 3)
+	l := newLocalCluster(t, 3)
 	for i := range 60 {
 		d := l.daemons[i%3]
 		a := l.send(d, http.MethodGet, "/lots/7?x=1", "")
@@ -32,10 +32,9 @@
 	assert.Equal(t, l.send(l.daemons[0], http.MethodGet, "/other/", "").status, http.StatusNotFound)
 }
 
-// The operator adds a route and then takes it away: callers of every host find it,
-// and then no more, within two seconds.
+// A route that the operator adds or removes must be in force on every host within two seconds.
 func TestConfigurationIsInForceEverywhere(t *testing.T) {
-	l := newLab(t, 3)
+	l := newLocalCluster(t, 3)
 	status := func(want int) func() bool {
 		return func() bool {
 			for _, d := range l.daemons {
@@ -48,18 +47,17 @@
 	}
 	start := time.Now()
 	l.configure(2, standin.Route{Name: "new", Host: hostName, Prefix: "/new/", Type: "safe", Service: "lots", Timeout: "1s", MaxAttempts: 1})
-	l.await("the new route", status(http.StatusOK))
+	l.await("the new route is in force", status(http.StatusOK))
 	assert.Check(t, time.Since(start) < 2*time.Second)
 	start = time.Now()
 	l.configure(3)
-	l.await("no more route", status(http.StatusNotFound))
+	l.await("the route is gone", status(http.StatusNotFound))
 	assert.Check(t, time.Since(start) < 2*time.Second)
 }
 
-// A target says that it is leaving. Within two seconds no host sends it anything
-// new, and what it runs is answered.
+// A target is marked as draining. Two seconds later no host may send it new requests.
 func TestLeavingTargetGetsNothingNew(t *testing.T) {
-	l := newLab(t, 3)
+	l := newLocalCluster(t, 3)
 	leaving := l.targets["bids-1"]
 	l.list(leaving, "draining")
 	time.Sleep(2 * time.Second)
@@ -70,28 +68,27 @@
 	assert.Check(t, leaving.LastRun().Before(mark))
 }
 
-// A target runs a request and its answer is lost. A read is sent to another target;
-// a bid is told at once that it may have run, never that it did not, and never runs
-// again.
+// A target runs a request and its response is lost. A safe request must be retried on another
+// target. A mutating one must not run again, and its client gets status 502: it may have run.
 func TestLostAnswers(t *testing.T) {
-	l := newLab(t, 1)
+	l := newLocalCluster(t, 1)
 	for _, tg := range l.targets {
 		tg.LoseResponse = func(id string) bool { return strings.HasSuffix(id, "-lost") && l.runs(id) == 1 }
 	}
 	for i := range 10 {
-		a := l.sendAs(fmt.Sprintf("read%d-lost", i), l.daemons[0], http.MethodGet, "/lots/7", "")
+		a := l.sendWithID(fmt.Sprintf("read%d-lost", i), l.daemons[0], http.MethodGet, "/lots/7", "")
 		assert.Equal(t, a.status, http.StatusOK)
-		b := l.sendAs(fmt.Sprintf("bid%d-lost", i), l.daemons[0], http.MethodPost, "/bids/7", "")
+		b := l.sendWithID(fmt.Sprintf("bid%d-lost", i), l.daemons[0], http.MethodPost, "/bids/7", "")
 		assert.Equal(t, b.status, http.StatusBadGateway)
 		assert.Equal(t, l.runs(b.id), 1)
 	}
 }
 
-// Each target's answer to one read is garbled, and reads as 421 without seal and echo: the
-// word of another target that has the address. All are listed as before, and take calls
-// again. Left out for as long as they run, they would leave this host none all day.
+// One response of each target is corrupted into a status 421 without the seal and request ID
+// headers, which looks like another target that has taken over the address. Guards against
+// excluding such targets for as long as they run, which would leave the host without any.
 func TestGarbledAnswersTakeNoTargetAwayForGood(t *testing.T) {
-	l := newLab(t, 1)
+	l := newLocalCluster(t, 1)
 	for _, tg := range l.targets {
 		var once atomic.Bool
 		tg.CorruptStatus = func(string) int {
@@ -102,15 +99,15 @@
 		}
 	}
 	read := func() int { return l.send(l.daemons[0], http.MethodGet, "/lots/7", "").status }
-	l.await("no target left", func() bool { return read() == http.StatusServiceUnavailable })
-	l.await("a target that takes calls", func() bool { return read() == http.StatusOK })
+	l.await("all targets excluded", func() bool { return read() == http.StatusServiceUnavailable })
+	l.await("a target in use again", func() bool { return read() == http.StatusOK })
 }
 
-// Bytes that read as a failure stand where a target's answer is due, without its seal. The
-// caller of a read gets the answer of another target; the caller of a bid is told that it
-// may have run. Neither is told that its proper request was wrong.
-func TestFailureWithoutSealIsNoWordToCallers(t *testing.T) {
-	l := newLab(t, 1)
+// An error response without the seal header does not come from a target that ran the request.
+// A safe request must be retried on another target, and a mutating one gets status 502: it may
+// have run. Guards against forwarding the status, which would blame a valid request.
+func TestErrorWithoutSealIsNotForwarded(t *testing.T) {
+	l := newLocalCluster(t, 1)
 	statuses := []int{301, 400, 404, 413, 431}
 	for _, tg := range l.targets {
 		tg.CorruptStatus = func(id string) int {
@@ -123,18 +120,18 @@
 		}
 	}
 	for _, status := range statuses {
-		a := l.sendAs(fmt.Sprintf("read-spoilt-%d", status), l.daemons[0], http.MethodGet, "/lots/7", "")
+		a := l.sendWithID(fmt.Sprintf("read-spoilt-%d", status), l.daemons[0], http.MethodGet, "/lots/7", "")
 		assert.Equal(t, a.status, http.StatusOK)
-		b := l.sendAs(fmt.Sprintf("bid-spoilt-%d", status), l.daemons[0], http.MethodPost, "/bids/7", "")
+		b := l.sendWithID(fmt.Sprintf("bid-spoilt-%d", status), l.daemons[0], http.MethodPost, "/bids/7", "")
 		assert.Equal(t, b.status, http.StatusBadGateway)
 		assert.Equal(t, l.runs(b.id), 1)
 	}
 }
 
-// The store is out. Calls go on, and a host that starts meanwhile learns all it
-// needs from the others.
-func TestStoreIsOut(t *testing.T) {
-	l := newLab(t, 2)
+// During an outage of the store, requests are still served, and a host that starts loads the
+// routes and targets from its peers.
+func TestServesDuringStoreOutage(t *testing.T) {
+	l := newLocalCluster(t, 2)
 	l.store.Set(standin.Fault{Refuse: true})
 	time.Sleep(500 * time.Millisecond)
 	d := l.start()
@@ -143,29 +140,29 @@
 	}
 }
 
-// A host is stopped while callers keep sending on open connections. Every request
-// that it has read gets its whole answer, the balancer sees at once that it is not
-// ready, and callers are told to close their connections.
+// A host is stopped while clients keep sending on open connections. Every request that it has
+// read must get its complete response, readiness checks must fail at once, and clients must be
+// told to close their connections.
 func TestStopCutsNothingOff(t *testing.T) {
-	l := newLab(t, 2)
+	l := newLocalCluster(t, 2)
 	d := l.daemons[1]
 	l.client = &http.Client{}
 	var wg sync.WaitGroup
-	failed := make(chan answer, 1000)
+	failed := make(chan response, 1000)
 	stopping := make(chan struct{})
 	for w := range 6 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := 0; ; i++ {
-				a := l.sendAs(fmt.Sprintf("w%d-%d", w, i), d, http.MethodPost, "/bids/7", "")
+				a := l.sendWithID(fmt.Sprintf("w%d-%d", w, i), d, http.MethodPost, "/bids/7", "")
 				if a.err != nil || a.status != http.StatusOK {
 					failed <- a
 					return
 				}
 				select {
 				case <-stopping:
-					if a.last {
+					if a.closed {
 						return
 					}
 				default:
@@ -186,38 +183,36 @@
 	}
 }
 
-// A host is stopped with the usual settings while callers go on. It takes new calls
-// until the balancer must have seen that it is not ready, two seconds, and none that
-// come later than three seconds: those might not be finished before the platform kills
-// the process.
+// A host is stopped with the default drain settings while clients keep sending. It must accept
+// requests for two seconds, until the load balancer has removed it, and none after three
+// seconds: those might not complete before the platform kills the process.
 func TestStopTakesNothingThatItMayNotFinish(t *testing.T) {
-	l := newLab(t, 1)
+	l := newLocalCluster(t, 1)
 	l.drain = ""
 	d := l.start()
 	slow := l.targets["bids-0"]
 	slow.Work = 4 * time.Second
 	started := time.Now()
-	done := make(chan answer, 3)
-	for i := range 3 { // one of them is at the slow target
-		go func() { done <- l.sendAs(fmt.Sprintf("slow%d", i), d, http.MethodPost, "/bids/7", "") }()
+	done := make(chan response, 3)
+	for i := range 3 { // one of them reaches the slow target
+		go func() { done <- l.sendWithID(fmt.Sprintf("slow%d", i), d, http.MethodPost, "/bids/7", "") }()
 	}
 	time.Sleep(100 * time.Millisecond)
 	d.stop()
 	time.Sleep(2100*time.Millisecond - time.Since(started))
 	assert.Equal(t, l.send(d, http.MethodGet, "/lots/7", "").status, http.StatusOK)
 	time.Sleep(3000*time.Millisecond - time.Since(started))
-	assert.Check(t, l.send(d, http.MethodGet, "/lots/7", "").err != nil, "a call was taken 3 s after the stop began")
+	assert.Check(t, l.send(d, http.MethodGet, "/lots/7", "").err != nil, "a request was accepted 3 s after the stop began")
 	for range 3 {
 		a := <-done
 		assert.Check(t, a.err == nil, "%s: %v", a.id, a.err)
 	}
 }
 
-// A target dies without a word. Callers of the others' hosts notice nothing but a
-// little time: no bid that was sent may be sent again, but one that found no
-// connection goes to another target.
-func TestTargetDies(t *testing.T) {
-	l := newLab(t, 2)
+// A target crashes while it is still listed. Mutating requests whose connection is refused must
+// go to another target; their clients see no error.
+func TestCrashedTargetIsAvoided(t *testing.T) {
+	l := newLocalCluster(t, 2)
 	l.send(l.daemons[0], http.MethodPost, "/bids/7", "")
 	dead := l.targets["bids-1"]
 	dead.server.CloseClientConnections()
@@ -228,11 +223,11 @@
 	}
 }
 
-// A target drains, ends, and starts again under its name at another address; a write of
-// its former run that was on its way arrives after that. Callers are served by the new run
-// within two seconds, and go on being served.
+// A target drains, stops and restarts under the same ID at another address, and then a delayed
+// write of the stopped process arrives. The new process must get requests within two seconds,
+// and keep getting them after the stale write.
 func TestTargetStartsAgainUnderItsName(t *testing.T) {
-	l := newLab(t, 3)
+	l := newLocalCluster(t, 3)
 	for i := range 2 {
 		l.list(l.targets[fmt.Sprint("bids-", i)], "draining")
 	}
@@ -250,23 +245,23 @@
 			return true
 		}
 	}
-	l.await("no target", status(http.StatusServiceUnavailable))
+	l.await("no target in use", status(http.StatusServiceUnavailable))
 	next := l.restartTarget("bids-2", 2000)
 	begun := time.Now()
-	l.await("the new run", status(http.StatusOK))
+	l.await("the new process is in use", status(http.StatusOK))
 	assert.Check(t, time.Since(begun) < 2*time.Second)
 	l.list(old, "draining")
 	time.Sleep(500 * time.Millisecond)
 	assert.Check(t, status(http.StatusOK)())
 	l.list(next, "draining")
-	l.await("the new run's own drain", status(http.StatusServiceUnavailable))
+	l.await("the new process drains", status(http.StatusServiceUnavailable))
 }
 
-// Another writer puts entries into the table of targets: of a target that is there, of
-// one that is not, and of one that has the address of a listener of its own. Callers are
-// served by the targets that are left, and nothing else gets their requests.
+// Another program writes invalid entries into the table of targets: one replaces the entry of a
+// known target, the others name the address of a server that is not a valid target. Requests
+// must go to the remaining targets only.
 func TestForeignEntriesGetNoRequests(t *testing.T) {
-	l := newLab(t, 2)
+	l := newLocalCluster(t, 2)
 	stray := l.addTarget("stray", "bids")
 	addr := stray.server.Listener.Addr().String()
 	l.store.Put("servers", "stray", fmt.Appendf(nil, `{"service":"bids","address":%q,"zone":"a","capacity":2,"state":"ready"}`, addr))
--- a/edge/evacuate_test.go
+++ b/edge/evacuate_test.go
@@ -9,20 +9,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// moveTo lists a target in another availability zone.
-func (l *lab) moveTo(zone string, ids ...string) {
+// setZone lists a target in another availability zone.
+func (l *localCluster) setZone(zone string, ids ...string) {
 	for _, id := range ids {
 		l.targets[id].zone = zone
 		l.list(l.targets[id], "ready")
 	}
 }
 
-// An operator empties a zone, then the other, and takes both back. Callers notice nothing of the
-// first, are refused at once by the second, and are served again after it.
+// An operator evacuates one availability zone, then the other, and ends both evacuations. With one
+// zone evacuated all requests must be served; with both they must be rejected without delay.
 func TestZoneIsEmptiedAndTakenBack(t *testing.T) {
-	l := newLab(t, 3)
-	l.moveTo("b", "bids-1", "bids-2")
-	bid := func(i int) answer { return l.send(l.daemons[i%3], http.MethodPost, "/bids/7", "") }
+	l := newLocalCluster(t, 3)
+	l.setZone("b", "bids-1", "bids-2")
+	bid := func(i int) response { return l.send(l.daemons[i%3], http.MethodPost, "/bids/7", "") }
 	served := func(i int) bool { return bid(i).status == http.StatusOK }
 	idle := func(ids ...string) bool {
 		mark := time.Now()
@@ -38,14 +38,14 @@
 	}
 
 	l.store.Put("op", "evacuate/b", []byte("{}"))
-	l.await("zone b is empty", func() bool { return idle("bids-1", "bids-2") })
+	l.await("zone b gets no requests", func() bool { return idle("bids-1", "bids-2") })
 	for i := range 30 {
 		assert.Check(t, served(i))
 	}
 	assert.Check(t, idle("bids-1", "bids-2"))
 
 	l.store.Put("op", "evacuate/a", []byte("{}"))
-	l.await("both zones are empty", func() bool { return idle("bids-0", "bids-1", "bids-2") })
+	l.await("neither zone gets requests", func() bool { return idle("bids-0", "bids-1", "bids-2") })
 	begin := time.Now()
 	a := bid(0)
 	assert.Equal(t, a.status, http.StatusServiceUnavailable)
@@ -53,10 +53,10 @@
 	assert.Check(t, time.Since(begin) < time.Second, "refused at once")
 
 	l.store.Remove("op", "evacuate/b")
-	l.await("zone b serves every host's callers", func() bool { return served(0) && served(1) && served(2) })
+	l.await("zone b serves requests of every host", func() bool { return served(0) && served(1) && served(2) })
 	assert.Check(t, idle("bids-0"))
 	l.store.Remove("op", "evacuate/a")
-	l.await("zone a is used again", func() bool { return !idle("bids-0") })
+	l.await("zone a gets requests again", func() bool { return !idle("bids-0") })
 	for _, log := range l.logs {
 		assert.Check(t, strings.Contains(log.String(), `msg="zone evacuated"`))
 		assert.Check(t, strings.Contains(log.String(), `msg="evacuation ended"`))
--- a/edge/limit_test.go
+++ b/edge/limit_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// within returns the most moments within any span of a length.
-func within(span time.Duration, at []time.Time) (most int) {
+// maxInSpan returns the largest number of the given times in any interval of length span.
+func maxInSpan(span time.Duration, at []time.Time) (most int) {
 	for i := range at {
 		n := 0
 		for _, other := range at[i:] {
@@ -23,29 +23,30 @@
 	return most
 }
 
-// Guards against hosts that send a target more than the limit it names to all of them together.
+// Guards against hosts exceeding together the request rate that a target announces as its limit
+// for all of them.
 func TestTargetsGetNoMoreThanTheLimitThatTheyName(t *testing.T) {
 	t.Parallel()
 	const (
-		limit   = 2.0 // requests a second that each of three targets names
-		allowed = 17  // in 4 s: half as many again, and 5
+		limit   = 2.0 // requests per second that each of three targets announces
+		allowed = 17  // in 4 s: 1.5 times the limit, plus 5
 		every   = 40 * time.Millisecond
 		span    = 4 * time.Second
-		stable  = time.Second // all hosts have heard of the limit
+		stable  = time.Second // by then all hosts know the limit
 	)
-	l := newLab(t, 3)
+	l := newLocalCluster(t, 3)
 	for i := range 3 {
 		l.targets[[]string{"lots-0", "lots-1", "lots-2"}[i]].Limit = func() (float64, bool) { return limit, true }
 	}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	served, refused, silent := 0, 0, 0
+	served, refused, unexpected := 0, 0, 0
 	begin := time.Now()
 	for i := 0; time.Since(begin) < stable+span+time.Second; i++ {
 		l.ids++
 		id := "limit-" + time.Since(begin).String()
 		wg.Go(func() {
-			a := l.sendAs(id, l.daemons[i%3], http.MethodGet, "/lots/7", "")
+			a := l.sendWithID(id, l.daemons[i%3], http.MethodGet, "/lots/7", "")
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
@@ -54,7 +55,7 @@
 			case a.status == http.StatusServiceUnavailable && a.header.Get("Retry-After") != "":
 				refused++
 			default:
-				silent++
+				unexpected++
 			}
 		})
 		time.Sleep(every)
@@ -68,11 +69,11 @@
 				later = append(later, a.At)
 			}
 		}
-		got := within(span, later)
+		got := maxInSpan(span, later)
 		t.Logf("%s: %d in 4 s", id, got)
 		assert.Check(t, got <= allowed, "%s: %d", id, got)
 	}
-	assert.Equal(t, silent, 0, "everybody else is told to come back")
-	// Most of what the targets take is used.
+	assert.Equal(t, unexpected, 0, "rejected without Retry-After")
+	// Most of the targets' capacity must be used.
 	assert.Check(t, float64(served) > 0.7*3*limit*span.Seconds(), "only %d served", served)
 }
--- a/edge/limits.go
+++ b/edge/limits.go
@@ -9,25 +9,26 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// What the callers' listener takes if the settings say nothing. net/http fixes these when
-// the server starts, before the operator's limits are known; they are far above the limits
-// in use, 16 kB, 3 s and 15 s, so that no request within the limits is refused. Callers that
-// exceed the limits are not held to them.
+// Defaults of the listener for client traffic. net/http fixes these when the server starts,
+// before the limits of the configuration are known. They are far above the limits in use
+// (16 kB, 3 s and 15 s), so that no request within the configured limits is rejected. Requests
+// between the configured limits and these are accepted.
 const (
-	// defaultMaxHeader is in bytes. A header takes memory as it arrives: 256 callers that all
-	// send the most hold 64 MB, a third of what the smallest hosts in use have.
-	defaultMaxHeader = 256 << 10
-	// defaultCallerHeader is for callers on slow links. One that trickles a header in holds
-	// a connection, 16 kB, for as long.
-	defaultCallerHeader = 15 * time.Second
-	// defaultIdle is longer than callers keep connections idle: they close first,
-	// and no request crosses with a close.
-	defaultIdle = 2 * time.Minute
+	// defaultMaxHeaderBytes is in bytes. Memory is allocated as the header arrives: 256
+	// connections with headers of this size hold 64 MB, a third of the memory of the smallest
+	// hosts in use.
+	defaultMaxHeaderBytes = 256 << 10
+	// defaultCallerHeaderTimeout allows for clients on slow links. A client that trickles in its
+	// header occupies a connection (16 kB) for this long.
+	defaultCallerHeaderTimeout = 15 * time.Second
+	// defaultIdleTimeout is longer than clients keep idle connections open. The client then closes
+	// first, and no request is lost to a connection that the server is closing.
+	defaultIdleTimeout = 2 * time.Minute
 )
 
-// watchLimits tells the operator of limits beyond what this host takes.
+// watchLimits logs an error when the configured limits exceed those of this host's HTTP server.
 //
-// Callers within such limits are answered by net/http alone, and nothing else says why.
+// net/http itself rejects requests between the two, and no other log line gives the reason.
 func (d *Daemon) watchLimits(ctx context.Context) error {
 	var seen routing.Limits
 	return d.board.Routes.Watch(ctx, func(t *routing.Table) {
--- a/edge/lab_test.go
+++ b/edge/localcluster_test.go
@@ -28,25 +28,26 @@
 
 const hostName = "auction.example"
 
-// lab is a platform with daemons over loopback.
-type lab struct {
-	t       *testing.T
-	store   *standin.Store
-	storeAt string
-	daemons []*daemon
-	targets map[string]*target
-	seeds   []string
-	// drain is the setting of that name.
+// localCluster runs daemons against a stand-in for the platform, all in this process and over
+// loopback.
+type localCluster struct {
+	t         *testing.T
+	store     *standin.Store
+	storeAddr string
+	daemons   []*daemon
+	targets   map[string]*target
+	seeds     []string
+	// drain holds the members of the setting drain, in JSON.
 	drain  string
 	ids    int
 	client *http.Client
-	// key is the API key that requests carry; none if empty.
+	// key is the API key sent with each request; none is sent if it is empty.
 	key string
-	// logs has what each daemon logged.
+	// logs holds the log of each daemon.
 	logs []*syncBuffer
 }
 
-// syncBuffer is a buffer that may be written to and read at once.
+// syncBuffer is a buffer that is safe for concurrent use.
 type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -68,7 +69,7 @@
 	*edge.Daemon
 	stop context.CancelFunc
 	done chan struct{}
-	err  error // of Run, once done is closed
+	err  error // result of Run; valid once done is closed
 }
 
 type target struct {
@@ -78,14 +79,14 @@
 	zone    string
 }
 
-func newLab(t *testing.T, daemons int) *lab {
-	l := &lab{t: t, store: standin.NewStore(), drain: `"notice": "300ms", "limit": "5s"`, targets: make(map[string]*target)}
+func newLocalCluster(t *testing.T, daemons int) *localCluster {
+	l := &localCluster{t: t, store: standin.NewStore(), drain: `"notice": "300ms", "limit": "5s"`, targets: make(map[string]*target)}
 	server := httptest.NewServer(l.store)
 	t.Cleanup(func() {
 		server.CloseClientConnections()
 		server.Close()
 	})
-	l.storeAt = server.Listener.Addr().String()
+	l.storeAddr = server.Listener.Addr().String()
 	l.client = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	l.configure(1)
 	for i := range 3 {
@@ -98,31 +99,31 @@
 	return l
 }
 
-func (l *lab) configure(version uint64, more ...standin.Route) {
+func (l *localCluster) configure(version uint64, more ...standin.Route) {
 	l.store.Put("op", "config", standin.Config(version, append(l.routes(), more...)...))
 }
 
-// routes are those of every configuration.
-func (l *lab) routes() []standin.Route {
+// routes returns the routes that every configuration contains.
+func (l *localCluster) routes() []standin.Route {
 	return []standin.Route{
 		{Name: "lots", Host: hostName, Prefix: "/lots/", Type: "safe", Service: "lots", Timeout: "2s", MaxAttempts: 2},
 		{Name: "bids", Host: hostName, Prefix: "/bids/", Type: "mutating", Service: "bids", Timeout: "2s", MaxAttempts: 2},
 	}
 }
 
-func (l *lab) addTarget(id, service string) *target {
+func (l *localCluster) addTarget(id, service string) *target {
 	return l.startTarget(id, service, 0)
 }
 
-// restartTarget has a target start again under its name, at another address. The former
-// run is still there, and may be listed once more.
-func (l *lab) restartTarget(id string, born int64) *target {
-	return l.startTarget(id, l.targets[id].service, born)
+// restartTarget starts a new run of a target under the same ID, at another address. The previous
+// run keeps serving and can be listed again.
+func (l *localCluster) restartTarget(id string, startMillis int64) *target {
+	return l.startTarget(id, l.targets[id].service, startMillis)
 }
 
-// startTarget starts a run of a target and lists it.
-func (l *lab) startTarget(id, service string, born int64) *target {
-	tg := &target{Target: &standin.Target{ID: id, StartMillis: born, Slots: 2, Queue: 4, Work: 20 * time.Millisecond}, service: service, zone: "a"}
+// startTarget starts a run of a target and lists it as ready.
+func (l *localCluster) startTarget(id, service string, startMillis int64) *target {
+	tg := &target{Target: &standin.Target{ID: id, StartMillis: startMillis, Slots: 2, Queue: 4, Work: 20 * time.Millisecond}, service: service, zone: "a"}
 	tg.server = httptest.NewServer(tg.Target)
 	l.t.Cleanup(func() {
 		tg.server.CloseClientConnections()
@@ -133,12 +134,12 @@
 	return tg
 }
 
-func (l *lab) list(tg *target, state string) {
+func (l *localCluster) list(tg *target, state string) {
 	l.store.Put("servers", tg.ID, tg.Entry(tg.service, tg.server.Listener.Addr().String(), tg.zone, state))
 }
 
 // start starts a daemon and waits until it is ready.
-func (l *lab) start() *daemon {
+func (l *localCluster) start() *daemon {
 	l.t.Helper()
 	peers := freeAddr(l.t)
 	text := fmt.Sprintf(`{
@@ -150,7 +151,7 @@
 		"retries": {"ratio": 0.2, "window": "10s", "reserve": 60},
 		"measuring": {"perTarget": 60},
 		"drain": {%s},
-	}`, len(l.daemons), peers, quoted(l.seeds), l.storeAt, l.drain)
+	}`, len(l.daemons), peers, quoteAll(l.seeds), l.storeAddr, l.drain)
 	s, err := settings.Parse("test", []byte(text))
 	assert.NilError(l.t, err)
 	buffer := new(syncBuffer)
@@ -159,7 +160,7 @@
 	assert.NilError(l.t, err)
 	d, err := edge.New(s, edge.Platform{
 		Directory: func(m *metrics.Set, log *zap.Logger) directory.Source {
-			return platform.NewDirectory(platform.NewStore(l.storeAt), m, log)
+			return platform.NewDirectory(platform.NewStore(l.storeAddr), m, log)
 		},
 		Contract:  platform.Contract(),
 		ReadyPath: platform.ReadyPath,
@@ -181,7 +182,7 @@
 	return run
 }
 
-func (d *daemon) ready(l *lab) bool {
+func (d *daemon) ready(l *localCluster) bool {
 	resp, err := l.client.Get("http://" + d.ReadinessAddr() + platform.ReadyPath)
 	if err != nil {
 		return false
@@ -190,8 +191,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// freeAddr returns an address for a daemon to listen on. It is not of 127.0.0.1, where
-// another test could take the port before the daemon does.
+// freeAddr returns an address for a daemon to listen on. It is not on 127.0.0.1, where another
+// test could take the port before the daemon does.
 func freeAddr(t *testing.T) string {
 	pid := os.Getpid()
 	ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 128+pid>>16&0x3f, pid>>8&0xff, 1+pid&0x7f))
@@ -200,7 +201,7 @@
 	return ln.Addr().String()
 }
 
-func quoted(list []string) string {
+func quoteAll(list []string) string {
 	out := make([]string, len(list))
 	for i, s := range list {
 		out[i] = fmt.Sprintf("%q", s)
@@ -208,35 +209,35 @@
 	return strings.Join(out, ",")
 }
 
-// await waits until a condition holds, for far longer than it should take.
-func (l *lab) await(what string, ok func() bool) {
+// await polls until ok returns true. The deadline is far longer than any condition should take.
+func (l *localCluster) await(what string, ok func() bool) {
 	l.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if ok() {
 			return
 		}
 	}
-	l.t.Fatalf("not within 10 s: %s", what)
+	l.t.Fatalf("condition not met within 10 s: %s", what)
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is the result of a request as its client sees it.
+type response struct {
 	id     string
 	status int
 	body   string
 	header http.Header
-	// last is set if the connection is not to be used again.
-	last bool
-	err  error
+	// closed is set if the server closes the connection.
+	closed bool
+	err    error
 }
 
-// send sends a request to a daemon.
-func (l *lab) send(d *daemon, method, path, body string) answer {
+// send sends a request with a new ID to a daemon.
+func (l *localCluster) send(d *daemon, method, path, body string) response {
 	l.ids++
-	return l.sendAs(fmt.Sprintf("r%d", l.ids), d, method, path, body)
+	return l.sendWithID(fmt.Sprintf("r%d", l.ids), d, method, path, body)
 }
 
-func (l *lab) sendAs(id string, d *daemon, method, path, body string) answer {
+func (l *localCluster) sendWithID(id string, d *daemon, method, path, body string) response {
 	req, err := http.NewRequest(method, "http://"+d.CallersAddr()+path, strings.NewReader(body))
 	assert.NilError(l.t, err)
 	req.Host = hostName
@@ -247,15 +248,15 @@
 	}
 	resp, err := l.client.Do(req)
 	if err != nil {
-		return answer{id: id, err: err}
+		return response{id: id, err: err}
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
-	return answer{id: id, status: resp.StatusCode, body: string(raw), header: resp.Header, last: resp.Close, err: err}
+	return response{id: id, status: resp.StatusCode, body: string(raw), header: resp.Header, closed: resp.Close, err: err}
 }
 
-// runs returns how often a request ran, at all targets together.
-func (l *lab) runs(id string) int {
+// runs returns how many times a request ran, over all targets.
+func (l *localCluster) runs(id string) int {
 	n := 0
 	for _, tg := range l.targets {
 		n += tg.Runs()[id]
--- a/edge/memory_test.go
+++ b/edge/memory_test.go
@@ -16,15 +16,15 @@
 const (
 	fleetHosts   = 984
 	fleetTargets = 10_000
-	// maxFleetMemory is what a host may hold that neither watches nor passes on much, in
-	// bytes: half of it is left for the garbage in between.
+	// maxFleetMemory bounds the memory of a host that neither watches the store nor forwards
+	// much, in bytes. It leaves as much again for garbage between collections.
 	maxFleetMemory = 24 << 20
 )
 
-// The platform ends the process of a small host for its memory. A host of a whole fleet knows all
-// hosts and targets, and what it holds of each counts ten thousand times.
-func TestHostOfAWholeFleetHoldsLittle(t *testing.T) {
-	l := newLab(t, 0)
+// Guards against running out of memory on a small host of a large fleet: every host holds state
+// for all hosts and targets, so that each byte per target counts ten thousand times.
+func TestMemoryOfAHostInALargeFleet(t *testing.T) {
+	l := newLocalCluster(t, 0)
 	routes := l.routes()
 	for i := range 4 {
 		service := fmt.Sprint("service", i)
@@ -47,7 +47,7 @@
 	l.seeds = []string{"127.99.0.1:9"}
 	before := memoryInUse()
 	d := l.start()
-	l.await("all hosts", func() bool { return len(d.Board().Members.Load().Members) >= fleetHosts })
+	l.await("all hosts are known", func() bool { return len(d.Board().Members.Load().Members) >= fleetHosts })
 	for i := range 4 {
 		l.send(d, http.MethodGet, fmt.Sprintf("/service%d/", i), "")
 	}
@@ -59,7 +59,7 @@
 // memoryInUse returns the bytes of live objects and of stacks.
 func memoryInUse() int64 {
 	runtime.GC()
-	runtime.GC() // the first leaves what pools hold
+	runtime.GC() // the first collection does not free the content of sync.Pools
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc + m.StackInuse)
--- a/edge/ownanswers_test.go
+++ b/edge/ownanswers_test.go
@@ -15,19 +15,19 @@
 	"github.com/cactusproxy/cactusproxy/platform/standin"
 )
 
-// A caller is told 400 and there is no line of its request, as none could be read. The
-// operator finds the answer in the counters, and in the log by the caller's address and the
-// request before it on the connection.
+// net/http rejects a malformed request with status 400 before a handler sees it, so that the
+// request has no log line of its own. The response must show up in the counters, and in a log
+// line with the client's address and the previous request on the connection.
 func TestExplainAnswerOfHTTP(t *testing.T) {
-	l := newLab(t, 1)
+	l := newLocalCluster(t, 1)
 	d := l.daemons[0]
 	conn, err := net.Dial("tcp", d.CallersAddr())
 	assert.NilError(t, err)
 	defer conn.Close()
 	assert.NilError(t, conn.SetDeadline(time.Now().Add(5*time.Second)))
 	r := bufio.NewReader(conn)
-	request(t, conn, r, "", http.StatusOK)
-	request(t, conn, r, "Bad Name: 1\r\n", http.StatusBadRequest)
+	sendWithHeaderLine(t, conn, r, "", http.StatusOK)
+	sendWithHeaderLine(t, conn, r, "Bad Name: 1\r\n", http.StatusBadRequest)
 	counted := d.Metrics().Map("answers_of_http").String()
 	assert.Equal(t, counted, `{"400": 1}`)
 	_, line, ok := strings.Cut(l.logs[0].String(), `level=warn msg="answered by net/http alone"`)
@@ -38,8 +38,9 @@
 	assert.Equal(t, line, want)
 }
 
-// request sends a request with another line in its header and reads its answer.
-func request(t *testing.T, conn io.Writer, r *bufio.Reader, line string, status int) {
+// sendWithHeaderLine sends a request with an additional header line and checks the status of the
+// response.
+func sendWithHeaderLine(t *testing.T, conn io.Writer, r *bufio.Reader, line string, status int) {
 	t.Helper()
 	_, err := fmt.Fprintf(conn, "GET /lots/7 HTTP/1.1\r\nHost: %s\r\n%s: before\r\n%s\r\n", hostName, standin.HeaderRequestID, line)
 	assert.NilError(t, err)
@@ -50,10 +51,10 @@
 	assert.Equal(t, resp.StatusCode, status)
 }
 
-// A caller asks OPTIONS *, for which there is no route, and must not be told of a success
-// that no target gave: net/http would say 200 by itself.
+// No route matches OPTIONS *, so that it must get status 404. Guards against the handler of
+// net/http, which responds with status 200 on its own.
 func TestOptionsOfTheWholeServerHaveNoRoute(t *testing.T) {
-	l := newLab(t, 1)
-	assert.Equal(t, l.exchange("OPTIONS * HTTP/1.1\r\nHost: "+hostName+"\r\n\r\n", 0), http.StatusNotFound)
+	l := newLocalCluster(t, 1)
+	assert.Equal(t, l.sendInHalves("OPTIONS * HTTP/1.1\r\nHost: "+hostName+"\r\n\r\n", 0), http.StatusNotFound)
 	assert.Equal(t, l.daemons[0].Metrics().Map("answers_of_http").String(), "{}")
 }
--- a/edge/provision.go
+++ b/edge/provision.go
@@ -25,39 +25,42 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// Defaults of settings that are left out.
+// Defaults of optional settings, and shares of the configured memory limit.
 const (
-	// defaultReadHeader is for the platform's balancer and operators.
-	defaultReadHeader = 5 * time.Second
-	// defaultDialTimeout leaves time for another target within the shortest
-	// deadlines in use, about a second. Inside a region a connection takes 1 to
-	// 3 ms; a lost packet adds a second and is not waited for.
+	// defaultReadHeaderTimeout applies to the readiness and operator listeners.
+	defaultReadHeaderTimeout = 5 * time.Second
+	// defaultDialTimeout leaves time to try another target within the shortest deadlines in
+	// use, about a second. A connection inside a region takes 1 to 3 ms. A lost SYN adds a
+	// second, which is too long to wait for.
 	defaultDialTimeout = 250 * time.Millisecond
-	// defaultBodyMemory holds bodies of 60 kB for a thousand calls in flight.
+	// defaultBodyMemory, in bytes, holds request bodies of 60 kB for a thousand concurrent
+	// requests.
 	defaultBodyMemory = 64 << 20
-	// bodyMemoryShare is the part of the memory limit that bodies may take.
-	bodyMemoryShare = 4
-	// defaultAnswerMemory holds 256 answers of the largest size that is held.
-	defaultAnswerMemory = 64 << 20
-	// answerMemoryShare is the part of the memory limit that answers may take which are
-	// held until they are whole: with bodies, three eighths of it.
-	answerMemoryShare = 8
-	// heapShare is the part of the memory limit, in percent, at which the garbage
-	// collector works harder; the rest is for stacks and socket buffers.
-	heapShare = 60
-	// garbageShare is how much garbage there may be beside what is in use, in percent: hosts
-	// allocate little, and have less memory to spare than processor time.
-	garbageShare = 50
-	// defaultNotice is how long a stop is announced: the balancer asks once a
-	// second and takes a host out after two misses. What is taken later than 3 s
-	// after the signal must be answered before the process ends, and an upload may
-	// take 4 s: with 3.2 s here one that came after 3.04 s was cut off at the end.
-	defaultNotice = 2800 * time.Millisecond
-	// defaultLimit ends a stop before the platform kills the process, 6 s after
-	// the signal.
-	defaultLimit = 5500 * time.Millisecond
-	// defaultWindow is the span that further attempts are counted in.
-	defaultWindow = 10 * time.Second
+	// bodyMemoryDivisor divides the memory limit: buffered request bodies may use a quarter.
+	bodyMemoryDivisor = 4
+	// defaultResponseMemory, in bytes, holds 256 buffered responses of the largest size that is
+	// buffered.
+	defaultResponseMemory = 64 << 20
+	// responseMemoryDivisor divides the memory limit: responses that are buffered until complete
+	// may use an eighth. Together with request bodies this is three eighths of the limit.
+	responseMemoryDivisor = 8
+	// goMemoryLimitPercent is the Go memory limit as a percentage of the process's memory limit.
+	// The rest is for stacks and socket buffers.
+	goMemoryLimitPercent = 60
+	// gcPercent is the value for debug.SetGCPercent. Hosts allocate little and have less
+	// memory to spare than CPU time.
+	gcPercent = 50
+	// defaultDrainNotice is the time between the stop signal and the closing of the listener. The
+	// platform's load balancer checks once a second and removes a host after two failures. The
+	// process is killed 6 s after the signal and an upload may take 4 s, so that requests
+	// accepted later than 3 s after the signal might not complete. With 3.2 s here, one that was
+	// accepted at 3.04 s was cut off.
+	defaultDrainNotice = 2800 * time.Millisecond
+	// defaultDrainLimit ends the drain before the platform kills the process, 6 s after the
+	// signal.
+	defaultDrainLimit = 5500 * time.Millisecond
+	// defaultRetryWindow is the length of the sliding window of the retry budget.
+	defaultRetryWindow = 10 * time.Second
 )
 
 func (d *Daemon) listen() error {
@@ -80,12 +83,12 @@
 	return nil
 }
 
-// provision makes the daemon's parts, from the listeners inwards. Handlers of
-// peer messages are registered here, before the link serves.
+// provision creates the daemon's components, from the listeners inward. It registers the
+// handlers of peer messages, which must be in place before the peer link starts to serve.
 func (d *Daemon) provision() {
 	if mb := d.settings.MemoryMB; mb > 0 {
-		debug.SetMemoryLimit(int64(mb) << 20 * heapShare / 100)
-		debug.SetGCPercent(garbageShare)
+		debug.SetMemoryLimit(int64(mb) << 20 * goMemoryLimitPercent / 100)
+		debug.SetGCPercent(gcPercent)
 	}
 	d.node = peer.NewNode(peer.Options{
 		Self:        d.self().ID(),
@@ -117,7 +120,7 @@
 	d.provisionQuota()
 	d.quarantine = quarantine.New(quarantine.Deps{
 		Link:    d.node,
-		Members: d.hosts,
+		Members: d.memberIDs,
 		Metrics: d.metrics,
 		Log:     d.log,
 	})
@@ -132,7 +135,7 @@
 		Metrics:   d.metrics,
 		Log:       d.log,
 		OnLeaving: d.markLeaving,
-		Heard:     d.heard,
+		Heard:     d.observeSignals,
 	})
 	d.provisionPicker()
 	d.provisionCallers()
@@ -140,12 +143,13 @@
 	d.provisionLeave()
 }
 
-// dialPeer opens a connection to another host that notices silence by itself.
+// dialPeer opens a connection to another host. The connection detects a dead peer by TCP
+// keep-alive and TCP_USER_TIMEOUT.
 func dialPeer(ctx context.Context, addr string) (net.Conn, error) {
 	return upstream.Dialer(defaultDialTimeout)(ctx, "tcp", addr)
 }
 
-// self is this host as the others know it.
+// self returns this host as it is announced to its peers.
 func (d *Daemon) self() directory.Host {
 	addr := d.settings.Peers.Advertise
 	if addr == "" {
@@ -154,7 +158,7 @@
 	return directory.Host{Addr: addr, Zone: d.settings.Host.Zone, Start: int64(d.incarnation)}
 }
 
-func (d *Daemon) hosts() []ports.HostID {
+func (d *Daemon) memberIDs() []ports.HostID {
 	members := d.board.Members.Load().Members
 	ids := make([]ports.HostID, len(members))
 	for i, m := range members {
@@ -163,7 +167,7 @@
 	return ids
 }
 
-// markLeaving notes that a target's own answer said that it is to stop.
+// markLeaving records that a target announced its shutdown in a response.
 func (d *Daemon) markLeaving(key blackboard.ServiceKey, t blackboard.Target) {
 	d.board.Targets.Update(func(old *blackboard.Targets) (*blackboard.Targets, bool) {
 		return old.WithLeaving(key, t.Run(), time.Now())
@@ -178,9 +182,9 @@
 		Quarantine:  d.quarantine,
 		Metrics:     d.metrics,
 		Contract:    d.platform.Contract,
-		Heard:       d.heard,
-		Retries:     newRetries(d.settings.Retries, d.board),
-		HoldAnswers: d.answerMemory(),
+		Heard:       d.observeSignals,
+		Retries:     newRetryBudget(d.settings.Retries, d.board),
+		HoldAnswers: d.responseMemory(),
 	})
 	d.entry = entry.New(entry.Deps{
 		Board:      d.board,
@@ -203,58 +207,58 @@
 		return n
 	}
 	if mb := d.settings.MemoryMB; mb > 0 {
-		return int64(mb) << 20 / bodyMemoryShare
+		return int64(mb) << 20 / bodyMemoryDivisor
 	}
 	return defaultBodyMemory
 }
 
-func (d *Daemon) answerMemory() int64 {
+func (d *Daemon) responseMemory() int64 {
 	if mb := d.settings.MemoryMB; mb > 0 {
-		return int64(mb) << 20 / answerMemoryShare
+		return int64(mb) << 20 / responseMemoryDivisor
 	}
-	return defaultAnswerMemory
+	return defaultResponseMemory
 }
 
 func (d *Daemon) provisionServers() {
 	header := d.settings.Callers.MaxHeaderBytes
 	if header == 0 {
-		header = defaultMaxHeader
+		header = defaultMaxHeaderBytes
 	}
 	callers := &http.Server{
 		Handler:           d.entry.Calls(),
 		MaxHeaderBytes:    header,
-		ReadHeaderTimeout: d.settings.Callers.ReadHeaderTimeout.Or(defaultCallerHeader),
-		IdleTimeout:       d.settings.Callers.IdleTimeout.Or(defaultIdle),
+		ReadHeaderTimeout: d.settings.Callers.ReadHeaderTimeout.Or(defaultCallerHeaderTimeout),
+		IdleTimeout:       d.settings.Callers.IdleTimeout.Or(defaultIdleTimeout),
 		ErrorLog:          zap.NewStdLog(d.log),
-		// OPTIONS * is a request like any other: net/http would answer it with 200.
+		// net/http would answer OPTIONS * with status 200 although no route matches it.
 		DisableGeneralOptionsHandler: true,
 	}
-	d.answers = entry.NewOwnAnswers(d.log, d.metrics, d.platform.Contract.RequestID)
-	d.answers.Watch(callers)
+	d.ownAnswers = entry.NewOwnAnswers(d.log, d.metrics, d.platform.Contract.RequestID)
+	d.ownAnswers.Watch(callers)
 	d.callers = daemon.Callers{
 		Server:   callers,
-		Listener: d.answers.Listener(d.listeners.callers),
+		Listener: d.ownAnswers.Listener(d.listeners.callers),
 		InFlight: d.entry.InFlight,
 	}
-	d.readiness = d.smallServer(d.platform.ReadyPath, http.HandlerFunc(d.ready))
-	d.operators = d.smallServer(PathMetrics, d.metrics)
+	d.readiness = d.auxiliaryServer(d.platform.ReadyPath, http.HandlerFunc(d.serveReadiness))
+	d.operators = d.auxiliaryServer(MetricsPath, d.metrics)
 }
 
-// PathMetrics is where the operators' listener serves the counters.
-const PathMetrics = "/metrics"
+// MetricsPath is the path of the metrics on the operators' listener.
+const MetricsPath = "/metrics"
 
-func (d *Daemon) smallServer(path string, h http.Handler) *http.Server {
+func (d *Daemon) auxiliaryServer(path string, h http.Handler) *http.Server {
 	mux := http.NewServeMux()
 	mux.Handle(path, h)
 	return &http.Server{
 		Handler:           mux,
-		ReadHeaderTimeout: defaultReadHeader,
-		IdleTimeout:       defaultIdle,
+		ReadHeaderTimeout: defaultReadHeaderTimeout,
+		IdleTimeout:       defaultIdleTimeout,
 		ErrorLog:          zap.NewStdLog(d.log),
 	}
 }
 
-func (d *Daemon) ready(w http.ResponseWriter, _ *http.Request) {
+func (d *Daemon) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if d.board.Status.Load().Ready() {
 		w.WriteHeader(http.StatusOK)
 		return
@@ -266,8 +270,8 @@
 	d.leave = leave.New(leave.Options{
 		Board:       d.board,
 		InFlight:    func() int { return int(d.entry.InFlight()) },
-		DrainPeriod: d.settings.Drain.Notice.Or(defaultNotice),
-		Limit:       d.settings.Drain.Limit.Or(defaultLimit),
+		DrainPeriod: d.settings.Drain.Notice.Or(defaultDrainNotice),
+		Limit:       d.settings.Drain.Limit.Or(defaultDrainLimit),
 		Log:         d.log,
 		Metrics:     d.metrics,
 		Hooks:       []leave.Hook{{Stage: leave.Close, Name: "callers", Func: d.callers.Close}},
--- a/edge/quota.go
+++ b/edge/quota.go
@@ -12,15 +12,15 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// Defaults of the setting quotas: as close to the quotas as owners that follow each other
-// allow.
+// Defaults of the setting quotas. They are the tightest tolerance that holds when ownership of
+// a quota moves from host to host.
 const (
 	defaultQuotaWindow   = 5 * time.Second
 	defaultQuotaShare    = 0.1
 	defaultQuotaRequests = 20
 )
 
-// provisionQuota makes the part that keeps tenants within their quotas.
+// provisionQuota creates the controller that enforces the tenants' quotas.
 func (d *Daemon) provisionQuota() {
 	d.quota = quota.New(quota.Deps{
 		Board:     d.board,
@@ -37,7 +37,8 @@
 	})
 }
 
-// provisionPicker makes the part that chooses targets and keeps to what they ask.
+// provisionPicker creates the picker, which chooses targets and honors their limits and their
+// requests to back off.
 func (d *Daemon) provisionPicker() {
 	d.picker = backpressure.New(backpressure.Deps{
 		Picker:    d.placer,
@@ -51,8 +52,8 @@
 	})
 }
 
-// heard takes in what a target says of itself.
-func (d *Daemon) heard(key blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
+// observeSignals passes the signals of a target's response or probe to the picker.
+func (d *Daemon) observeSignals(key blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
 	d.picker.Heard(key, t, s)
 }
 
@@ -64,8 +65,8 @@
 	return policy.Tolerance{Window: q.Window.Or(defaultQuotaWindow), Share: q.Share, Requests: q.Requests}
 }
 
-// otherZones returns the availability zones but this host's, beginning with the one after it
-// by name: each zone turns to another one first.
+// otherZones returns all availability zones except this host's, sorted by name and rotated to
+// start after it, so that each zone tries a different zone first.
 func (d *Daemon) otherZones() []string {
 	own := d.settings.Host.Zone
 	var after, before []string
--- a/edge/reload.go
+++ b/edge/reload.go
@@ -8,12 +8,11 @@
 	"github.com/cactusproxy/cactusproxy/settings"
 )
 
-// Reload takes in settings that were read again. New seeds are used at once; any
-// other change waits for the next start, as addresses and limits are fixed while
-// the daemon runs.
+// Reload applies settings that were read again. Only new seeds take effect at once. All other
+// changes need a restart, since addresses and limits are fixed while the daemon runs.
 func (d *Daemon) Reload(c settings.Change) {
 	if c.Err != nil {
-		d.log.Error("settings refused, the old ones stay", zap.Error(c.Err))
+		d.log.Error("settings rejected; keeping the current ones", zap.Error(c.Err))
 		return
 	}
 	d.watch.AddSeeds(c.Settings.Peers.Seeds)
--- a/edge/rest_test.go
+++ b/edge/rest_test.go
@@ -8,29 +8,31 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against hosts that come back to a target before the rest that it asked them for is over.
-func TestTargetThatAsksForRestGetsIt(t *testing.T) {
+// Guards against sending requests to a target before the back-off that it asked for with
+// Retry-After is over.
+func TestBackOffOfATargetIsHonored(t *testing.T) {
 	t.Parallel()
-	l := newLab(t, 2)
+	l := newLocalCluster(t, 2)
 	tg := l.targets["lots-0"]
-	tg.BackOff = func() time.Duration { return 1500 * time.Millisecond } // a fraction of a second counts
-	l.start()                                                         // one that was not there as the target began to ask
+	tg.BackOff = func() time.Duration { return 1500 * time.Millisecond } // not a whole second
+	l.start()                                                            // after the first Retry-After
 	for _, d := range l.daemons {
 		before := len(tg.Arrivals())
 		for begin := time.Now(); time.Since(begin) < time.Second; {
-			assert.Equal(t, l.send(d, http.MethodGet, "/lots/7", "").status, http.StatusOK, "the others serve")
+			assert.Equal(t, l.send(d, http.MethodGet, "/lots/7", "").status, http.StatusOK, "the other targets serve")
 		}
 		got := len(tg.Arrivals()) - before
 		assert.Check(t, got >= 1 && got <= 2, "%d requests of one host", got)
 	}
 	tg.BackOff = nil
-	l.await("it is used again", func() bool { return l.browse(l.daemons[0], tg, 10) > 0 })
+	l.await("the target is used again", func() bool { return l.sendReads(l.daemons[0], tg, 10) > 0 })
 }
 
-// Guards against attempts at targets that are known to rest, and callers that wait for them.
-func TestCallersAreRefusedAtOnceWhileAllTargetsRest(t *testing.T) {
+// While all targets have asked for a back-off, requests must be rejected at once: guards against
+// further attempts at these targets and against queueing for them.
+func TestRequestsAreRejectedAtOnceWhileAllTargetsBackOff(t *testing.T) {
 	t.Parallel()
-	l := newLab(t, 1)
+	l := newLocalCluster(t, 1)
 	for _, id := range []string{"lots-0", "lots-1", "lots-2"} {
 		l.targets[id].BackOff = func() time.Duration { return 2 * time.Second }
 	}
--- a/edge/restore_test.go
+++ b/edge/restore_test.go
@@ -11,8 +11,8 @@
 	"github.com/cactusproxy/cactusproxy/platform/standin"
 )
 
-// heartbeats has all targets write their entries so many times.
-func (l *lab) heartbeats(n int) {
+// rewriteEntries rewrites the entries of all targets n times.
+func (l *localCluster) rewriteEntries(n int) {
 	for range n {
 		for _, tg := range l.targets {
 			l.list(tg, "ready")
@@ -20,76 +20,80 @@
 	}
 }
 
-// idle reports whether a target gets none of some requests.
-func (l *lab) idle(tg *target) bool { return l.browse(l.daemons[0], tg, 30) == 0 }
+// receivesNothing sends requests and reports whether the target received none of them.
+func (l *localCluster) receivesNothing(tg *target) bool {
+	return l.sendReads(l.daemons[0], tg, 30) == 0
+}
 
-// Guards against taking what is written after the store came back from an older copy for older
-// than what the copy lacks.
-func TestChangesAfterTheStoreCameBackFromACopyAreHeeded(t *testing.T) {
+// The store is restored from an older backup and hands out versions again that it used before.
+// Guards against treating writes after the restore as older than those lost in it.
+func TestChangesAfterARestoreAreApplied(t *testing.T) {
 	t.Parallel()
-	l := newLab(t, 2)
+	l := newLocalCluster(t, 2)
 	copied := l.store.Snapshot()
-	l.heartbeats(5)
-	l.browse(l.daemons[0], l.targets["lots-0"], 10)
+	l.rewriteEntries(5)
+	l.sendReads(l.daemons[0], l.targets["lots-0"], 10)
 	l.store.Restore(copied)
 	l.list(l.targets["lots-0"], "draining")
-	l.await("the drain is heeded", func() bool { return l.idle(l.targets["lots-0"]) })
+	l.await("the draining target gets no requests", func() bool { return l.receivesNothing(l.targets["lots-0"]) })
 	l.addTarget("lots-9", "lots")
-	l.await("a new target is used", func() bool { return !l.idle(l.targets["lots-9"]) })
+	l.await("a new target is used", func() bool { return !l.receivesNothing(l.targets["lots-9"]) })
 	l.configure(2, standin.Route{Name: "late", Host: hostName, Prefix: "/late/", Type: "safe", Service: "lots", Timeout: "2s", MaxAttempts: 2})
 	l.await("a new route is served", func() bool {
 		return l.send(l.daemons[1], http.MethodGet, "/late/7", "").status == http.StatusOK
 	})
 }
 
-// Guards against using targets again that an older copy shows as they were before they left.
+// Guards against using targets that have left, but that the restored backup still lists as ready.
 func TestTargetsThatLeftStayOutWhenACopyShowsThem(t *testing.T) {
 	t.Parallel()
-	l := newLab(t, 2)
-	l.heartbeats(1)
+	l := newLocalCluster(t, 2)
+	l.rewriteEntries(1)
 	copied := l.store.Snapshot()
 	draining, gone := l.targets["lots-0"], l.targets["lots-1"]
 	l.list(draining, "draining")
 	l.store.Remove("servers", gone.ID)
-	l.await("both are out", func() bool { return l.idle(draining) && l.idle(gone) })
+	l.await("neither target gets requests", func() bool { return l.receivesNothing(draining) && l.receivesNothing(gone) })
 	l.store.Restore(copied)
 	for begin := time.Now(); time.Since(begin) < 2*time.Second; {
-		assert.Check(t, l.idle(draining), "draining, %s after the copy", time.Since(begin))
-		assert.Check(t, l.idle(gone), "gone, %s after the copy", time.Since(begin))
+		assert.Check(t, l.receivesNothing(draining), "draining target in use %s after the restore", time.Since(begin))
+		assert.Check(t, l.receivesNothing(gone), "removed target in use %s after the restore", time.Since(begin))
 	}
 	l.list(draining, "draining")
 	l.store.Remove("servers", gone.ID)
-	l.heartbeatsOf("lots-2")
-	assert.Check(t, l.idle(draining) && l.idle(gone))
+	l.rewriteEntriesOf("lots-2")
+	assert.Check(t, l.receivesNothing(draining) && l.receivesNothing(gone))
 }
 
-func (l *lab) heartbeatsOf(ids ...string) {
+func (l *localCluster) rewriteEntriesOf(ids ...string) {
 	for _, id := range ids {
 		l.list(l.targets[id], "ready")
 	}
 }
 
-// Guards against filling a zone again since an older copy lacks the order to empty it.
+// Guards against using an evacuated zone because the restored backup lacks the evacuation order,
+// until the order is written again.
 func TestZoneStaysEmptyWhileTheOrderIsWrittenAgain(t *testing.T) {
 	t.Parallel()
-	l := newLab(t, 2)
-	l.moveTo("b", "lots-0", "lots-2", "bids-0", "bids-1", "bids-2")
+	l := newLocalCluster(t, 2)
+	l.setZone("b", "lots-0", "lots-2", "bids-0", "bids-1", "bids-2")
 	copied := l.store.Snapshot()
 	l.store.Put("op", "evacuate/a", []byte("{}"))
-	l.await("the zone is empty", func() bool { return l.idle(l.targets["lots-1"]) })
+	l.await("the zone gets no requests", func() bool { return l.receivesNothing(l.targets["lots-1"]) })
 	l.store.Restore(copied)
 	time.AfterFunc(time.Second, func() { l.store.Put("op", "evacuate/a", []byte("{}")) })
 	for begin := time.Now(); time.Since(begin) < 4*time.Second; {
-		assert.Check(t, l.idle(l.targets["lots-1"]), "%s after the copy", time.Since(begin))
+		assert.Check(t, l.receivesNothing(l.targets["lots-1"]), "evacuated zone in use %s after the restore", time.Since(begin))
 	}
 	l.store.Remove("op", "evacuate/a")
-	l.await("the zone is used again", func() bool { return !l.idle(l.targets["lots-1"]) })
+	l.await("the zone is used again", func() bool { return !l.receivesNothing(l.targets["lots-1"]) })
 }
 
-// Guards against hosts that no other host finds after a restart, since an older copy lacks them.
+// The list of hosts must be written again after a restore. Guards against hosts that a starting
+// host cannot discover because the backup lacks them.
 func TestHostsAreWrittenDownAgainAfterACopy(t *testing.T) {
 	t.Parallel()
-	l := newLab(t, 1)
+	l := newLocalCluster(t, 1)
 	copied := l.store.Snapshot()
 	written := func() bool {
 		for _, r := range l.store.Rows("cactusproxy_hosts") {
@@ -99,8 +103,8 @@
 		}
 		return false
 	}
-	l.await("hosts are written down", written)
+	l.await("the list of hosts is written", written)
 	l.store.Restore(copied)
-	assert.Check(t, !written(), "the copy is older")
-	l.await("hosts are written down again", written)
+	assert.Check(t, !written(), "the backup must lack the host")
+	l.await("the list of hosts is written again", written)
 }
--- a/edge/retries.go
+++ b/edge/retries.go
@@ -10,14 +10,14 @@
 	"github.com/cactusproxy/cactusproxy/settings"
 )
 
-// retriesUsed is the part of the budget for further attempts that hosts use
-// together: the rest is for hosts that do not know of each other yet.
-const retriesUsed = 0.8
+// distributedBudgetRatio is the fraction of the configured retry budget that is divided among the
+// known hosts. The rest covers hosts that have not discovered each other yet.
+const distributedBudgetRatio = 0.8
 
-// retries is this host's part of the budget for further attempts: its own calls'
-// share, and an even part of the reserve.
-type retries struct {
-	set     settings.Retries
+// retryBudget is this host's part of the retry budget: the configured ratio of its own requests,
+// plus an equal share of the reserve. It is safe for concurrent use.
+type retryBudget struct {
+	limits  settings.Retries
 	board   *blackboard.Board
 	started time.Time
 
@@ -25,61 +25,60 @@
 	windows map[blackboard.ServiceKey]*retry.Window
 }
 
-var _ dispatch.RetryBudget = (*retries)(nil)
+var _ dispatch.RetryBudget = (*retryBudget)(nil)
 
-func newRetries(s settings.Retries, b *blackboard.Board) *retries {
-	return &retries{set: s, board: b, started: time.Now(), windows: make(map[blackboard.ServiceKey]*retry.Window)}
+func newRetryBudget(s settings.Retries, b *blackboard.Board) *retryBudget {
+	return &retryBudget{limits: s, board: b, started: time.Now(), windows: make(map[blackboard.ServiceKey]*retry.Window)}
 }
 
 // Call implements dispatch.RetryBudget.
-func (r *retries) Call(key blackboard.ServiceKey, now time.Time) {
+func (r *retryBudget) Call(key blackboard.ServiceKey, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.window(key).Call(now)
 }
 
 // Take implements dispatch.RetryBudget.
-func (r *retries) Take(key blackboard.ServiceKey, now time.Time) bool {
+func (r *retryBudget) Take(key blackboard.ServiceKey, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.window(key)
-	w.SetReserve(r.reserve(now))
+	w.SetReserve(r.reserveShare(now))
 	return w.Take(now)
 }
 
-// secondsPart is the part of the budget that second attempts may use up: what is left is
-// for requests that were refused or failed, which have no answer otherwise.
-const secondsPart = 0.8
+// hedgeBudgetRatio is the fraction of the budget that hedged attempts may use. The rest is kept for
+// retries of requests that were rejected or failed, which would otherwise get no response.
+const hedgeBudgetRatio = 0.8
 
 // TakeSecond implements dispatch.RetryBudget.
-func (r *retries) TakeSecond(key blackboard.ServiceKey, now time.Time) bool {
+func (r *retryBudget) TakeSecond(key blackboard.ServiceKey, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.window(key)
-	w.SetReserve(r.reserve(now))
-	return w.TakePart(now, secondsPart)
+	w.SetReserve(r.reserveShare(now))
+	return w.TakePart(now, hedgeBudgetRatio)
 }
 
-// firstReserve is the share of its part of the reserve that a host begins with.
-const firstReserve = 0.25
+// initialReserveRatio is the fraction of its share of the reserve that a host starts with.
+const initialReserveRatio = 0.25
 
-// reserve is this host's even part of the reserve. It grows to the whole over the
-// first window.
-//
-// A host that has just started may know only the seeds, and would take far more than its part.
-func (r *retries) reserve(now time.Time) float64 {
+// reserveShare returns this host's share of the reserve, in requests per window. It ramps up to the
+// full share over the first window: a host that has just started may know only its seeds, and
+// would take far more than its share.
+func (r *retryBudget) reserveShare(now time.Time) float64 {
 	hosts := max(1, len(r.board.Members.Load().Members))
-	grown := min(1, max(firstReserve, float64(now.Sub(r.started))/float64(r.span())))
-	return grown * retriesUsed * r.set.Reserve / float64(hosts)
+	ramp := min(1, max(initialReserveRatio, float64(now.Sub(r.started))/float64(r.span())))
+	return ramp * distributedBudgetRatio * r.limits.Reserve / float64(hosts)
 }
 
-func (r *retries) span() time.Duration { return r.set.Window.Or(defaultWindow) }
+func (r *retryBudget) span() time.Duration { return r.limits.Window.Or(defaultRetryWindow) }
 
-func (r *retries) window(key blackboard.ServiceKey) *retry.Window {
+func (r *retryBudget) window(key blackboard.ServiceKey) *retry.Window {
 	w := r.windows[key]
 	if w == nil {
 		w = retry.NewWindow(retry.WindowLimits{
-			Ratio: retriesUsed * r.set.Ratio,
+			Ratio: distributedBudgetRatio * r.limits.Ratio,
 			Span:  r.span(),
 		})
 		r.windows[key] = w
--- a/edge/retries_test.go
+++ b/edge/retries_test.go
@@ -21,22 +21,22 @@
 	return m
 }
 
-// Fourteen hosts start at once while the store is out, and each knows four at first.
-// Targets fail, and every host wants further attempts without end. All of them together
-// must keep to the reserve of the window, though none knows how many they are.
+// Fourteen hosts start at once during an outage of the store, and each knows only four at first.
+// Every host keeps retrying. Together they must stay within the reserve of one window, although
+// none of them knows the number of hosts.
 func TestHostsThatKnowFewOthersKeepToTheReserve(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hosts = 14
 		set := settings.Retries{Ratio: 0.2, Window: "10s", Reserve: 58}
 		key := blackboard.ServiceKey{Service: "s"}
 		var boards []*blackboard.Board
-		var budgets []*retries
+		var budgets []*retryBudget
 		for range hosts {
 			b := blackboard.New()
 			defer b.Close()
 			b.Members.Store(members(4))
 			boards = append(boards, b)
-			budgets = append(budgets, newRetries(set, b))
+			budgets = append(budgets, newRetryBudget(set, b))
 		}
 		spent := 0
 		for range 60 {
--- a/edge/run.go
+++ b/edge/run.go
@@ -12,28 +12,28 @@
 	"github.com/cactusproxy/cactusproxy/internal/daemon"
 )
 
-// Run serves until ctx ends, then stops without cutting off a call, and returns
-// nil if every call in flight had its whole answer.
+// Run serves until ctx is done, then shuts down gracefully. It returns nil if every request in
+// flight received its complete response.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.Close()
-	return daemon.Run(ctx, d.start, func(work context.Context) error { return d.await(ctx, work) })
+	return daemon.Run(ctx, d.start, func(work context.Context) error { return d.waitAndStop(ctx, work) })
 }
 
-// await returns once the daemon has stopped, or a part has failed.
-func (d *Daemon) await(ctx, work context.Context) error {
+// waitAndStop blocks until the daemon has shut down or one of its components has failed.
+func (d *Daemon) waitAndStop(ctx, work context.Context) error {
 	d.log.Info("listening", zap.String("callers", d.CallersAddr()),
 		zap.String("readiness", d.ReadinessAddr()), zap.String("peers", d.PeersAddr()))
 	select {
 	case <-ctx.Done():
 		return d.stop(work)
 	case <-work.Done():
-		return nil // what the part returned ends Run
+		return nil // Run returns the error of the failed component
 	}
 }
 
-// start runs all parts until work ends.
+// start runs all components in g until work is done.
 func (d *Daemon) start(work context.Context, g *errgroup.Group) {
-	for _, part := range []func(context.Context) error{
+	for _, component := range []func(context.Context) error{
 		d.node.Serve,
 		d.watch.Run,
 		d.quota.Run,
@@ -42,7 +42,7 @@
 		d.watchLimits,
 		daemon.Upkeep{Board: d.board, Pools: d.pools, Quarantine: d.quarantine}.Run,
 	} {
-		g.Go(func() error { return part(work) })
+		g.Go(func() error { return component(work) })
 	}
 	g.Go(d.callers.Serve)
 	g.Go(func() error {
@@ -64,11 +64,11 @@
 	}
 }
 
-// stop leaves gracefully. The error says that calls were cut off.
+// stop shuts down gracefully. It returns an error if requests were cut off.
 func (d *Daemon) stop(ctx context.Context) error {
 	report := d.leave.Stop(ctx)
 	if report.Cut {
-		return errors.Newf("stop cut off %d calls", report.Left)
+		return errors.Newf("shutdown cut off %d requests in flight", report.Left)
 	}
 	return nil
 }
--- a/edge/stop_test.go
+++ b/edge/stop_test.go
@@ -13,19 +13,16 @@
 	"github.com/cactusproxy/cactusproxy/platform/standin"
 )
 
-// A caller that no refusal reaches finds its connection closed, with no answer to a bid
-// that the host has read.
-//
-// The caller's connection is open when a host that was told to stop closes its listener, and
-// the request arrives in the moment after that. net/http's Shutdown has the server read
-// such a request and then close the connection without a word.
+// A request arrives on an open connection just after a stopping host has closed its listener.
+// Guards against http.Server.Shutdown, which reads such a request and then closes the connection
+// without a response.
 func TestStopAnswersWhatArrivesAsItStopsListening(t *testing.T) {
 	for _, before := range []struct {
 		name  string
 		calls int
 	}{{"on a fresh connection", 0}, {"on a kept connection", 1}} {
 		t.Run(before.name, func(t *testing.T) {
-			l := newLab(t, 1)
+			l := newLocalCluster(t, 1)
 			d := l.daemons[0]
 			c := dialCaller(t, d)
 			for range before.calls {
@@ -38,28 +35,28 @@
 			resp, err := c.bid()
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, http.StatusOK)
-			assert.Check(t, resp.Close, "the caller was not told to close its connection")
+			assert.Check(t, resp.Close, "the response did not announce the close of the connection")
 			<-d.done
 			assert.NilError(t, d.err)
 		})
 	}
 }
 
-// A caller has a connection open, and sends nothing. A stop with nothing to finish does not
-// wait for it.
+// With no request in flight, a stop must not wait for an open connection on which nothing was
+// sent.
 func TestStopDoesNotWaitForAnEmptyConnection(t *testing.T) {
-	l := newLab(t, 1)
+	l := newLocalCluster(t, 1)
 	d := l.daemons[0]
 	dialCaller(t, d)
 	begun := time.Now()
 	d.stop()
 	<-d.done
 	assert.NilError(t, d.err)
-	// The notice is 300 ms; the host may take a fifth of a second beyond it.
+	// The drain notice is 300 ms; the host may take 200 ms more.
 	assert.Check(t, time.Since(begun) < 500*time.Millisecond, "the stop took %v", time.Since(begun))
 }
 
-// callerConn is a caller that writes its requests byte for byte.
+// callerConn is a client that writes raw HTTP/1.1 requests on one connection.
 type callerConn struct {
 	net.Conn
 	reader *bufio.Reader
@@ -73,7 +70,7 @@
 	return &callerConn{Conn: nc, reader: bufio.NewReader(nc)}
 }
 
-// bid sends a bid and reads its answer.
+// bid sends a mutating request and reads the response.
 func (c *callerConn) bid() (*http.Response, error) {
 	c.sent++
 	_, err := fmt.Fprintf(c, "POST /bids/7 HTTP/1.1\r\nHost: %s\r\n%s: %s-%d\r\n%s: 2000\r\nContent-Length: 0\r\n\r\n",
@@ -88,7 +85,7 @@
 	return resp, resp.Body.Close()
 }
 
-// awaitNoListener waits until a host that stops refuses connections.
+// awaitNoListener waits until a stopping host refuses new connections.
 func awaitNoListener(t *testing.T, d *daemon) {
 	end := time.Now().Add(5 * time.Second)
 	for time.Now().Before(end) {
