--- a/routing/bench_test.go
+++ b/routing/bench_test.go
@@ -11,10 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// manyRoutes is how many routes the largest configurations seen have.
+// manyRoutes is the number of routes in the largest configurations in use.
 const manyRoutes = 1500
 
-// largeConfig is a configuration of many routes over 300 hosts and 100 services.
+// largeConfig returns a configuration with manyRoutes routes, 300 host names and 100 services.
 func largeConfig(version uint64) *Config {
 	c := &Config{Version: version}
 	for i := range 100 {
@@ -35,7 +35,7 @@
 	return c
 }
 
-// largeChanges are changes of a large configuration, by name.
+// largeChanges returns changes of a large configuration by name: the versions before and after.
 func largeChanges() map[string][2]*Config {
 	changed, fewer := largeConfig(2), largeConfig(2)
 	for i := range 200 {
@@ -86,9 +86,9 @@
 	}
 }
 
-// A difference goes to every host: one that grew with the routes that did not change would
-// cost them what a whole configuration does, 250 kB.
-func TestADifferenceIsSmall(t *testing.T) {
+// A delta is sent to every host. Its size must depend on the changed routes alone: with the
+// unchanged ones it would be as large as a whole configuration, 250 kB.
+func TestDeltaIsSmall(t *testing.T) {
 	size := func(v any) int {
 		raw, err := msgpack.Marshal(v)
 		assert.NilError(t, err)
@@ -97,10 +97,10 @@
 	c := largeChanges()["changed=200"]
 	d := Diff(c[0], c[1])
 	assert.Equal(t, len(d.Put), 200)
-	whole, services := size(c[1]), size(c[1].Services)
-	difference := size(d)
-	t.Logf("whole %d bytes, services %d, difference %d", whole, services, difference)
-	assert.Check(t, difference-services < whole/7, "%d of %d bytes", difference, whole)
+	configSize, servicesSize := size(c[1]), size(c[1].Services)
+	deltaSize := size(d)
+	t.Logf("configuration %d bytes, services %d, delta %d", configSize, servicesSize, deltaSize)
+	assert.Check(t, deltaSize-servicesSize < configSize/7, "%d of %d bytes", deltaSize, configSize)
 	slices.Reverse(c[1].Routes)
-	assert.Equal(t, size(Diff(c[0], c[1])), difference, "the order of a document is nothing to tell")
+	assert.Equal(t, size(Diff(c[0], c[1])), deltaSize, "a change of order must not grow the delta")
 }
--- a/routing/check.go
+++ b/routing/check.go
@@ -6,16 +6,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Check returns what is wrong with a configuration. One that is wrong is never
-// put in force: the last good one stays.
+// Check returns an error if the configuration is invalid. An invalid configuration is never
+// applied: the last valid one stays in force.
 func (c *Config) Check() error {
 	services := make(map[string]bool, len(c.Services))
 	for _, s := range c.Services {
 		if s.Name == "" {
-			return errors.New("service without a name")
+			return errors.New("service has no name")
 		}
 		if s.WarmUp < 0 || s.ColdRate < 0 {
-			return errors.Newf("service %q has a negative time or rate for cold targets", s.Name)
+			return errors.Newf("service %q has a negative warm-up time or cold rate", s.Name)
 		}
 		services[s.Name] = true
 	}
@@ -32,7 +32,7 @@
 
 func (r *Route) check(services map[string]bool) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-		return errors.Newf("prefix %q does not begin and end with a slash", r.Prefix)
+		return errors.Newf("prefix %q does not start and end with a slash", r.Prefix)
 	}
 	if r.Timeout <= 0 {
 		return errors.New("no timeout")
@@ -43,12 +43,12 @@
 			return errors.Newf("unknown service %q", p.Service)
 		}
 		if p.Weight < 0 {
-			return errors.Newf("negative weight of %q", p.Service)
+			return errors.Newf("service %q has a negative weight", p.Service)
 		}
 		total += p.Weight
 	}
 	if total <= 0 {
-		return errors.New("no service takes its requests")
+		return errors.New("no service with a positive weight")
 	}
 	return nil
 }
--- a/routing/config.go
+++ b/routing/config.go
@@ -1,14 +1,19 @@
-// Package routing holds a configuration by routes, as a platform that keeps one
-// document for all hosts declares it, and finds the route of a request.
+// Package routing is the model of the route configuration, and the route lookup, for platforms
+// that keep one configuration document for all hosts.
+//
+// A Config is one immutable version of the document, and Check validates it. A Table is built
+// from a Config and maps the host name and path of a request to a route and, by weighted split,
+// to one of its services. Hosts send each other a Delta instead of a whole Config where the
+// receiver has the base version. Config.Digest detects a receiver whose base differs.
 package routing
 
 import "time"
 
-// Workspace is the workspace that all services of a configuration by routes
-// belong to: such a platform serves one customer.
+// Workspace is the workspace of all services in a Config. A platform with one configuration
+// document has no workspaces of its own.
 const Workspace = "platform"
 
-// Kind says what of a route's requests may be repeated.
+// Kind is the type of a route's requests. It determines whether they may be retried.
 type Kind uint8
 
 const (
@@ -16,16 +21,16 @@
 	Safe Kind = iota + 1
 	// Mutating requests run at most once.
 	Mutating
-	// Upload requests carry large bodies and run at most once.
+	// Upload requests have large bodies and run at most once.
 	Upload
-	// Download requests get large answers and run any number of times.
+	// Download requests have large responses and may run any number of times.
 	Download
-	// Unknown requests are of a kind that this program has never heard of: they run
-	// at most once, the strictest that any kind asks for.
+	// Unknown stands for a kind that this version of the program does not know. Its requests
+	// run at most once, which is the strictest rule of any kind.
 	Unknown
 )
 
-// Retryable reports whether requests of the kind may run more than once.
+// Retryable reports whether requests of this kind may run more than once.
 func (k Kind) Retryable() bool { return k == Safe || k == Download }
 
 // String returns the name of the kind in logs.
@@ -48,18 +53,18 @@
 
 // Config is one version of the configuration. It is immutable once published.
 type Config struct {
-	// Version is the operator's version; a higher one replaces a lower one and
-	// never the other way round.
+	// Version is assigned by the operator. A configuration only ever replaces one of a lower
+	// version.
 	Version  uint64    `msgpack:"version"`
 	Routes   []Route   `msgpack:"routes"`
 	Services []Service `msgpack:"services"`
 	Limits   Limits    `msgpack:"limits"`
-	// RequiresKey is set if requests need the key of a tenant, but for those of public routes.
-	RequiresKey   bool     `msgpack:"keyed"`
-	Tenants []Tenant `msgpack:"tenants"`
+	// RequiresKey is set if requests must carry the API key of a tenant, except on public routes.
+	RequiresKey bool     `msgpack:"keyed"`
+	Tenants     []Tenant `msgpack:"tenants"`
 }
 
-// Unknown returns how many routes are of a kind that this program has never heard of.
+// Unknown returns the number of routes of kind Unknown.
 func (c *Config) Unknown() (n int) {
 	for i := range c.Routes {
 		if c.Routes[i].Kind == Unknown {
@@ -69,58 +74,59 @@
 	return n
 }
 
-// Route leads the requests of one host name and path prefix to services.
+// Route maps the requests of one host name and path prefix to services.
 type Route struct {
 	Name string `msgpack:"name"`
-	// Host is the Host header in lower case, without a port.
+	// Host is the host name in lower case, without a port; see HostName.
 	Host string `msgpack:"host"`
-	// Prefix begins and ends with a slash; among the routes of a host the
-	// longest prefix of the path wins. See byPrecedence for routes of one host and prefix.
+	// Prefix starts and ends with a slash. Among the routes of a host name the longest prefix
+	// of the path wins; see byPrecedence for routes with the same host name and prefix.
 	Prefix string `msgpack:"prefix"`
 	Kind   Kind   `msgpack:"kind"`
-	// Timeout is the longest that a request may take.
+	// Timeout bounds the total time of a request.
 	Timeout time.Duration `msgpack:"timeout"`
-	// Objective is the time within which an answer is worth most to its caller.
+	// Objective is the target latency: a later response is worth less to the client.
 	Objective time.Duration `msgpack:"objective"`
-	// Priority is the rank of the requests; 0 is the most urgent.
+	// Priority ranks the requests; 0 is the most urgent.
 	Priority int `msgpack:"priority"`
-	// Public requests need no key.
+	// Public routes need no API key.
 	Public bool `msgpack:"public"`
-	// MaxAttempts bounds the targets that one request may be sent to.
+	// MaxAttempts is the maximum number of attempts for one request, including the first.
 	MaxAttempts int `msgpack:"max_attempts"`
-	// Regions are the only ones whose targets may get the requests; all if empty.
+	// Regions restricts the requests to targets in these regions. Empty means all regions.
 	Regions []string `msgpack:"regions"`
-	// Split has one entry for each service that takes a share of the requests.
+	// Split is the weighted split of the requests among services.
 	Split []WeightedService `msgpack:"parts"`
 }
 
-// WeightedService is a service's share of a route.
+// WeightedService is a service with its share of a route's requests. Weights are relative to
+// their sum over the route.
 type WeightedService struct {
 	Service string  `msgpack:"service"`
 	Weight  float64 `msgpack:"weight"`
 }
 
-// Service is what the configuration says of one service.
+// Service configures one service.
 type Service struct {
 	Name string `msgpack:"name"`
-	// HealthPath answers probes.
+	// HealthPath is the path of the health check on the service's targets.
 	HealthPath string `msgpack:"health_path"`
-	// MaxConns is the number of connections a target takes from all hosts.
+	// MaxConns is the maximum number of connections to one target, over all hosts.
 	MaxConns int `msgpack:"max_conns"`
-	// WarmUp is how long a target is cold after its start, or once it has turned cold.
+	// WarmUp is how long a target stays cold after it has started or turned cold again.
 	WarmUp time.Duration `msgpack:"warm_up"`
-	// ColdRate is the requests a second, from all hosts together, that a cold target bears:
-	// well above it the target crashes. 0 means no bound.
+	// ColdRate limits the requests per second to a cold target, over all hosts. Well above
+	// its cold rate a target crashes. 0 means no limit.
 	ColdRate float64 `msgpack:"cold_rate"`
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests and connections of clients.
 type Limits struct {
-	// MaxHeaderBytes and MaxBodyBytes are sizes in bytes.
+	// MaxHeaderBytes and MaxBodyBytes bound the header and the body of a request.
 	MaxHeaderBytes int   `msgpack:"max_header_bytes"`
 	MaxBodyBytes   int64 `msgpack:"max_body_bytes"`
-	// HeaderTimeout is how long a header may take to arrive, IdleTimeout how
-	// long a connection may stay without a request.
+	// HeaderTimeout bounds the time for a header to arrive, IdleTimeout the time that a
+	// connection may stay open without a request.
 	HeaderTimeout time.Duration `msgpack:"header_timeout"`
 	IdleTimeout   time.Duration `msgpack:"idle_timeout"`
 }
--- a/routing/delta_test.go
+++ b/routing/delta_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// A host that missed a version must not apply what leads on from it: it would put
-// a configuration in force that no operator wrote.
+// A host that missed a version must not apply a delta based on it: the result would be a
+// configuration that no operator wrote.
 func TestDeltaFromAnotherBaseIsRefused(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 1))
 	d := Diff(randomConfig(rng, 3), randomConfig(rng, 7))
--- a/routing/digest.go
+++ b/routing/digest.go
@@ -7,23 +7,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest is the same for configurations that say the same, whatever the order of their
-// routes and tenants. Hosts of several versions of this program compare it: if what it
-// covers changes, Delta.Digest gets another name on the wire.
+// Digest returns a hash of the configuration that does not depend on the order of its routes and
+// tenants. Hosts with different versions of this program compare it: if the hashed content
+// changes, Delta.Digest needs a new name on the wire.
 func (c *Config) Digest() uint64 {
 	var sum uint64
-	for _, mark := range routeMarks(c.Routes) {
-		sum += mark
+	for _, digest := range routeDigests(c.Routes) {
+		sum += digest
 	}
-	for _, mark := range tenantMarks(c.Tenants) {
-		sum += mark
+	for _, digest := range tenantDigests(c.Tenants) {
+		sum += digest
 	}
-	return sum + xxhash.Sum64(c.appendRest(nil))
+	return sum + xxhash.Sum64(c.appendSettings(nil))
 }
 
-// routeMarks returns for each name the sum of the digests of its routes: a sum, since the
-// same route may stand twice.
-func routeMarks(routes []Route) map[string]uint64 {
+// routeDigests returns the sum of the digests of all routes of each name. A sum, unlike an
+// exclusive or, counts a duplicate route.
+func routeDigests(routes []Route) map[string]uint64 {
 	m := make(map[string]uint64, len(routes))
 	var raw []byte
 	for i := range routes {
@@ -33,8 +33,8 @@
 	return m
 }
 
-// tenantMarks returns the digest of each tenant by its name.
-func tenantMarks(tenants []Tenant) map[string]uint64 {
+// tenantDigests returns the digest of each tenant by name.
+func tenantDigests(tenants []Tenant) map[string]uint64 {
 	m := make(map[string]uint64, len(tenants))
 	var raw []byte
 	for i := range tenants {
@@ -44,50 +44,50 @@
 	return m
 }
 
-// appendTo appends all that a route says. Two routes say the same if the bytes are the same.
+// appendTo appends an encoding of all fields. Routes are equal if their encodings are equal.
 func (r *Route) appendTo(b []byte) []byte {
-	b = appendText(b, r.Name)
-	b = appendText(b, r.Host)
-	b = appendText(b, r.Prefix)
+	b = appendString(b, r.Name)
+	b = appendString(b, r.Host)
+	b = appendString(b, r.Prefix)
 	b = binary.AppendVarint(b, int64(r.Kind))
 	b = binary.AppendVarint(b, int64(r.Timeout))
 	b = binary.AppendVarint(b, int64(r.Objective))
 	b = binary.AppendVarint(b, int64(r.Priority))
 	b = binary.AppendVarint(b, int64(r.MaxAttempts))
 	b = appendBool(b, r.Public)
-	b = appendTexts(b, r.Regions)
+	b = appendStrings(b, r.Regions)
 	for _, p := range r.Split {
-		b = appendText(b, p.Service)
-		b = appendNumber(b, p.Weight)
+		b = appendString(b, p.Service)
+		b = appendFloat(b, p.Weight)
 	}
 	return b
 }
 
-// appendTo appends all that a tenant says.
+// appendTo appends an encoding of all fields.
 func (t *Tenant) appendTo(b []byte) []byte {
-	b = append(b, "tenant "...) // apart from a route that has the same fields
-	b = appendText(b, t.Name)
+	b = append(b, "tenant "...) // differs from the encoding of any route
+	b = appendString(b, t.Name)
 	b = binary.AppendVarint(b, int64(t.Priority))
-	b = appendNumber(b, t.Rate)
-	b = appendNumber(b, t.Burst)
-	b = appendTexts(b, t.Regions)
+	b = appendFloat(b, t.Rate)
+	b = appendFloat(b, t.Burst)
+	b = appendStrings(b, t.Regions)
 	for _, k := range t.Keys {
 		b = append(b, k[:]...)
 	}
 	return b
 }
 
-// appendRest appends all that a configuration says beside its routes and tenants.
-func (c *Config) appendRest(b []byte) []byte {
+// appendSettings appends an encoding of the configuration without its routes and tenants.
+func (c *Config) appendSettings(b []byte) []byte {
 	b = binary.AppendUvarint(b, c.Version)
 	b = appendBool(b, c.RequiresKey)
 	b = binary.AppendUvarint(b, uint64(len(c.Services)))
 	for _, s := range c.Services {
-		b = appendText(b, s.Name)
-		b = appendText(b, s.HealthPath)
+		b = appendString(b, s.Name)
+		b = appendString(b, s.HealthPath)
 		b = binary.AppendVarint(b, int64(s.MaxConns))
 		b = binary.AppendVarint(b, int64(s.WarmUp))
-		b = appendNumber(b, s.ColdRate)
+		b = appendFloat(b, s.ColdRate)
 	}
 	b = binary.AppendVarint(b, int64(c.Limits.MaxHeaderBytes))
 	b = binary.AppendVarint(b, c.Limits.MaxBodyBytes)
@@ -95,22 +95,21 @@
 	return binary.AppendVarint(b, int64(c.Limits.IdleTimeout))
 }
 
-// appendText appends a text with its length, so that two texts in a row are not taken for
-// two others.
-func appendText(b []byte, s string) []byte {
+// appendString appends a string with a length prefix, so that consecutive strings are unambiguous.
+func appendString(b []byte, s string) []byte {
 	b = binary.AppendUvarint(b, uint64(len(s)))
 	return append(b, s...)
 }
 
-func appendTexts(b []byte, list []string) []byte {
+func appendStrings(b []byte, list []string) []byte {
 	b = binary.AppendUvarint(b, uint64(len(list)))
 	for _, s := range list {
-		b = appendText(b, s)
+		b = appendString(b, s)
 	}
 	return b
 }
 
-func appendNumber(b []byte, n float64) []byte {
+func appendFloat(b []byte, n float64) []byte {
 	return binary.BigEndian.AppendUint64(b, math.Float64bits(n))
 }
 
--- a/routing/digest_test.go
+++ b/routing/digest_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// fullConfig has a value in every field.
+// fullConfig returns a configuration with every field set.
 func fullConfig() *Config {
 	return &Config{
 		Version: 7,
@@ -29,14 +29,14 @@
 	}
 }
 
-// During an update, hosts compare digests that two versions of this program made. If this
-// value changes, each takes every difference of the other for a wrong one, and is told the
-// configuration whole each time: give Delta.Digest another name on the wire then.
+// During a rolling update hosts compare digests computed by two versions of this program. If this
+// value changes, each rejects every delta of the other and needs the whole configuration instead:
+// give Delta.Digest a new name on the wire then.
 func TestDigestStaysAcrossVersionsOfTheProgram(t *testing.T) {
 	assert.Equal(t, fullConfig().Digest(), uint64(3954691789224323012))
 }
 
-// A field that is not in the digest is one in which hosts may differ unnoticed.
+// Guards against fields that are missing from the digest, in which hosts could differ unnoticed.
 func TestDigestCoversEveryField(t *testing.T) {
 	for path, change := range changesOf(t, reflect.ValueOf(fullConfig()).Elem(), "config") {
 		c := fullConfig()
@@ -45,8 +45,8 @@
 	}
 }
 
-// changesOf returns a change of each field of a value, by its path; the function is called
-// with another value of the same shape.
+// changesOf returns, for each field of v by path, a function that changes this field in another
+// value of the same shape.
 func changesOf(t *testing.T, v reflect.Value, path string) map[string]func(reflect.Value) {
 	t.Helper()
 	out := make(map[string]func(reflect.Value))
@@ -76,7 +76,7 @@
 	case v.CanFloat():
 		out[path] = func(v reflect.Value) { v.SetFloat(v.Float() + 1) }
 	default:
-		t.Fatalf("%s: no change for a %s", path, v.Kind())
+		t.Fatalf("%s: unsupported kind %s", path, v.Kind())
 	}
 	return out
 }
@@ -84,35 +84,35 @@
 func TestDigestDoesNotDependOnTheOrderOfRoutes(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 6))
-		c := anyConfig(rng, 1)
+		c := randomConfigWithCollisions(rng, 1)
 		want := c.Digest()
 		rng.Shuffle(len(c.Routes), func(i, j int) { c.Routes[i], c.Routes[j] = c.Routes[j], c.Routes[i] })
 		assert.Equal(t, c.Digest(), want)
 		if len(c.Routes) > 0 {
 			c.Routes = append(c.Routes, c.Routes[0])
-			assert.Check(t, c.Digest() != want, "a route that stands twice")
+			assert.Check(t, c.Digest() != want, "a duplicate route must change the digest")
 		}
 	}
 }
 
-// A caller is told 404 by one host alone. It has another configuration of the version at
-// which a difference begins, without a route that the sender has and that did not change.
-// It must not take the result for the operator's configuration.
-func TestDeltaThatLeadsElsewhereIsRefused(t *testing.T) {
+// The receiver of a delta has a different configuration of the base version: it lacks a route that
+// did not change. It must reject the delta. Otherwise it alone would respond with status 404 to
+// requests of this route.
+func TestDeltaWithDigestMismatchIsRefused(t *testing.T) {
 	services := []Service{{Name: "a"}, {Name: "b"}}
-	x, y := route("x", "h", "/a/", "a"), route("y", "h", "/c/", "a")
-	theirs := &Config{Version: 1, Routes: []Route{x, y}, Services: services}
-	ours := &Config{Version: 1, Routes: []Route{x}, Services: services}
-	next := &Config{Version: 2, Routes: []Route{route("x", "h", "/a/", "b"), y}, Services: services}
-	d := Diff(theirs, next)
-	_, err := ours.Apply(d)
+	x, y := testRoute("x", "h", "/a/", "a"), testRoute("y", "h", "/c/", "a")
+	sender := &Config{Version: 1, Routes: []Route{x, y}, Services: services}
+	receiver := &Config{Version: 1, Routes: []Route{x}, Services: services}
+	next := &Config{Version: 2, Routes: []Route{testRoute("x", "h", "/a/", "b"), y}, Services: services}
+	d := Diff(sender, next)
+	_, err := receiver.Apply(d)
 	assert.Check(t, errors.Is(err, ErrDigestMismatch), "%v", err)
-	_, err = theirs.Apply(d)
+	_, err = sender.Apply(d)
 	assert.NilError(t, err)
 }
 
-// olderDelta is a difference as programs know it that lack the digest.
-type olderDelta struct {
+// deltaWithoutDigest is the Delta of versions of this program without digests.
+type deltaWithoutDigest struct {
 	Base     uint64    `msgpack:"base"`
 	Version  uint64    `msgpack:"version"`
 	Put      []Route   `msgpack:"put"`
@@ -121,15 +121,15 @@
 	Limits   Limits    `msgpack:"limits"`
 }
 
-// While hosts are updated one after the other, those of both programs tell each other
-// differences. Each must take what the other sends.
+// During a rolling update hosts with and without digests send each other deltas. Each must accept
+// those of the other.
 func TestDeltasPassBetweenProgramsWithAndWithoutDigest(t *testing.T) {
-	from, next := openConfig(), openConfig()
+	from, next := configWithoutTenants(), configWithoutTenants()
 	next.Version = 8
 	next.Routes[0].Prefix = "/c/"
 	raw, err := msgpack.Marshal(Diff(from, next))
 	assert.NilError(t, err)
-	var older olderDelta
+	var older deltaWithoutDigest
 	assert.NilError(t, msgpack.Unmarshal(raw, &older))
 	assert.Equal(t, older.Version, uint64(8))
 	assert.DeepEqual(t, older.Put, next.Routes)
@@ -142,15 +142,15 @@
 	assert.DeepEqual(t, got, next)
 }
 
-// openConfig is one without tenants, as programs know it that lack them.
-func openConfig() *Config {
+// configWithoutTenants returns a configuration as versions of this program without tenants have it.
+func configWithoutTenants() *Config {
 	c := fullConfig()
 	c.RequiresKey, c.Tenants = false, nil
 	c.Routes[0].Public = false
 	return c
 }
 
-// A host whose program knows no tenants must not open all routes at the others.
+// A delta from a host whose version does not support tenants must not make all routes public.
 func TestDeltaOfAProgramWithoutTenantsOpensNoRoutes(t *testing.T) {
 	from, next := fullConfig(), fullConfig()
 	next.Version = 8
@@ -160,14 +160,14 @@
 	assert.Check(t, errors.Is(err, ErrDigestMismatch), "%v", err)
 }
 
-// A tenant whose only change is in one field must travel.
-func TestAChangeOfAnyFieldOfATenantTravels(t *testing.T) {
+// Guards against a delta that omits a tenant in which a single field has changed.
+func TestDeltaIncludesAnyChangedFieldOfATenant(t *testing.T) {
 	base := fullConfig()
 	for path, change := range changesOf(t, reflect.ValueOf(base.Tenants[0]), "tenant") {
 		next := fullConfig()
 		next.Version = 8
 		change(reflect.ValueOf(&next.Tenants[0]).Elem())
-		got, err := base.Apply(sent(t, Diff(base, next)))
+		got, err := base.Apply(roundTrip(t, Diff(base, next)))
 		assert.NilError(t, err, path)
 		assert.DeepEqual(t, got.Tenants, next.Tenants)
 	}
--- a/routing/table.go
+++ b/routing/table.go
@@ -12,72 +12,71 @@
 	"github.com/cactusproxy/cactusproxy/internal/invariant"
 )
 
-// Table finds the route of a request. It is made once for each version of the
-// configuration and safe for concurrent use.
+// Table looks up the routes of requests and the tenants of API keys. One is built for each version
+// of the configuration. It is safe for concurrent use.
 type Table struct {
-	Config *Config
-	byHost map[string][]*entry
-	byName map[string]*Service
+	Config        *Config
+	entriesByHost map[string][]*entry
+	serviceByName map[string]*Service
 
-	byTenant map[string]*Tenant
-	byKey    map[KeyDigest]*Tenant
+	tenantByName map[string]*Tenant
+	tenantByKey  map[KeyDigest]*Tenant
 }
 
-// entry is a route with the services of its parts and the state of its split.
+// entry is a route with its services resolved, in the order of its parts, and the state of its
+// weighted split.
 type entry struct {
 	route    *Route
 	services []*Service
 	split    split
 }
 
-// Match is where a request leads.
+// Match is the route of a request and the service chosen for it.
 type Match struct {
 	Route   *Route
 	Service *Service
 }
 
-// NewTable returns the table of a configuration that Check accepted: each route has a
-// service for every part. rng gives each split a random start, so that many hosts together
-// keep the proportions also in a short time.
+// NewTable returns the table of a configuration, which must have passed Check. rng gives each
+// split a random initial state, so that many hosts together keep the proportions also over few
+// requests each.
 func NewTable(c *Config, rng *rand.Rand) *Table {
 	t := &Table{
-		Config: c,
-		byHost: make(map[string][]*entry),
-		byName: make(map[string]*Service, len(c.Services)),
+		Config:        c,
+		entriesByHost: make(map[string][]*entry),
+		serviceByName: make(map[string]*Service, len(c.Services)),
 	}
 	for i := range c.Services {
-		t.byName[c.Services[i].Name] = &c.Services[i]
+		t.serviceByName[c.Services[i].Name] = &c.Services[i]
 	}
-	t.addTenants(c)
+	t.indexTenants(c)
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		t.byHost[r.Host] = append(t.byHost[r.Host], t.newEntry(r, rng))
+		t.entriesByHost[r.Host] = append(t.entriesByHost[r.Host], t.newEntry(r, rng))
 	}
-	for _, list := range t.byHost {
+	for _, list := range t.entriesByHost {
 		slices.SortFunc(list, byPrecedence)
 	}
 	return t
 }
 
-// newEntry returns a route with its services.
-//
-// Check accepts no route to a service that is not there: its callers would be told 404.
+// newEntry resolves the services of a route. Check rejects routes to unknown services, whose
+// clients would get status 404.
 func (t *Table) newEntry(r *Route, rng *rand.Rand) *entry {
 	invariant.Check(len(r.Split) > 0, invariant.RouteService, "route=%s has no part", r.Name)
 	e := &entry{route: r, services: make([]*Service, len(r.Split)), split: newSplit(r.Split, rng)}
 	for i, p := range r.Split {
-		e.services[i] = t.byName[p.Service]
+		e.services[i] = t.serviceByName[p.Service]
 		invariant.Check(e.services[i] != nil, invariant.RouteService, "route=%s service=%s", r.Name, p.Service)
 	}
 	return e
 }
 
-// byPrecedence puts the route first that takes a request: the one of the longest prefix. Of
-// several with the same prefix it is the one whose name is first in the order of bytes, of
-// several with that name, too, the first by all that they say.
+// byPrecedence orders the routes of a host name. The longest prefix comes first; routes with the
+// same prefix are ordered by name, bytewise, and those with the same name by their encoding.
 //
-// What the routes say is the same at every host; their order in a document is not, for hosts that
-// were told a difference.
+// The order must depend on the content of the routes alone: after a Delta, the order of the list
+// differs from that of the document.
 func byPrecedence(a, b *entry) int {
 	if c := cmp.Compare(len(b.route.Prefix), len(a.route.Prefix)); c != 0 {
 		return c
@@ -92,12 +91,12 @@
 }
 
 // Service returns the service with this name, or nil.
-func (t *Table) Service(name string) *Service { return t.byName[name] }
+func (t *Table) Service(name string) *Service { return t.serviceByName[name] }
 
-// Find returns where a request leads; false means that no route covers it, and nothing
-// else. Each call takes one turn of the route's split.
+// Find returns the route and service of a request. It returns false only if no route matches.
+// Each match advances the weighted split of the route.
 func (t *Table) Find(host, path string) (Match, bool) {
-	for _, e := range t.byHost[HostName(host)] {
+	for _, e := range t.entriesByHost[HostName(host)] {
 		if !strings.HasPrefix(path, e.route.Prefix) {
 			continue
 		}
@@ -106,8 +105,8 @@
 	return Match{}, false
 }
 
-// HostName returns a Host header without its port, in lower case. The names in a
-// configuration are read by it, too: one that is read otherwise is never found.
+// HostName returns the host name of a Host header: in lower case and without the port. Host names
+// of a configuration must be normalized by it as well, or lookups never match them.
 func HostName(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -115,18 +114,18 @@
 	return strings.ToLower(host)
 }
 
-// split spreads requests over parts in the proportions of their weights: each
-// turn adds its share to every part's credit and goes to the part with the most.
-// Dice would miss the proportions of a few hundred requests by several percent;
-// this is never more than one request off for each part.
+// split distributes requests by smooth weighted round robin: every turn adds its share to the
+// credit of each part and selects the part with the most. Random selection would miss the
+// proportions by several percent over a few hundred requests; this is off by at most one
+// request per part. It is safe for concurrent use.
 type split struct {
-	mu     *sync.Mutex
-	shares []float64
-	credit []float64
+	mu      *sync.Mutex
+	shares  []float64
+	credits []float64
 }
 
 func newSplit(parts []WeightedService, rng *rand.Rand) split {
-	s := split{mu: new(sync.Mutex), shares: make([]float64, len(parts)), credit: make([]float64, len(parts))}
+	s := split{mu: new(sync.Mutex), shares: make([]float64, len(parts)), credits: make([]float64, len(parts))}
 	total := 0.0
 	for _, p := range parts {
 		total += p.Weight
@@ -134,12 +133,11 @@
 	for i, p := range parts {
 		s.shares[i] = p.Weight / total
 	}
-	// One turn with a random point for a start: part i goes first as often as its
-	// share says.
+	// Choose the part that goes first at random, in proportion to the shares.
 	point := rng.Float64()
 	for i, share := range s.shares {
 		if point < share {
-			s.credit[i] = rng.Float64()
+			s.credits[i] = rng.Float64()
 			break
 		}
 		point -= share
@@ -155,11 +153,11 @@
 	defer s.mu.Unlock()
 	best := 0
 	for i, share := range s.shares {
-		s.credit[i] += share
-		if s.credit[i] > s.credit[best] {
+		s.credits[i] += share
+		if s.credits[i] > s.credits[best] {
 			best = i
 		}
 	}
-	s.credit[best]--
+	s.credits[best]--
 	return best
 }
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -13,18 +13,20 @@
 	"github.com/cactusproxy/cactusproxy/internal/invariant"
 )
 
-func table(routes ...Route) *Table {
+func testTable(routes ...Route) *Table {
 	c := &Config{Routes: routes, Services: []Service{{Name: "a"}, {Name: "b"}}}
 	return NewTable(c, rand.New(rand.NewPCG(1, 2)))
 }
 
-func to(service string) []WeightedService { return []WeightedService{{Service: service, Weight: 1}} }
+func splitTo(service string) []WeightedService {
+	return []WeightedService{{Service: service, Weight: 1}}
+}
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
-	tb := table(
-		Route{Name: "r1", Host: "one.example", Prefix: "/", Split: to("a")},
-		Route{Name: "r2", Host: "one.example", Prefix: "/lots/", Split: to("b")},
-		Route{Name: "r3", Host: "two.example", Prefix: "/bids/", Split: to("a")},
+	tb := testTable(
+		Route{Name: "r1", Host: "one.example", Prefix: "/", Split: splitTo("a")},
+		Route{Name: "r2", Host: "one.example", Prefix: "/lots/", Split: splitTo("b")},
+		Route{Name: "r3", Host: "two.example", Prefix: "/bids/", Split: splitTo("a")},
 	)
 	for _, tc := range []struct{ host, path, want string }{
 		{"one.example", "/lots/7", "r2"},
@@ -42,9 +44,8 @@
 	}
 }
 
-// Fourteen hosts that each take a few requests of a split must keep its
-// proportions together: a caller's request goes to the wrong part more often
-// than declared if all hosts begin with the same one.
+// Fourteen hosts that each route a few requests must together keep the proportions of a split.
+// Guards against all hosts starting with the same part.
 func TestSplitKeepsProportionsOverManyHosts(t *testing.T) {
 	const hosts, each = 14, 25
 	parts := []WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}
@@ -67,13 +68,12 @@
 	}
 }
 
-// A caller was told 404 as if no route covered the request, though one did: the service
-// that it leads to was not in the table. A table is made of a configuration that was
-// checked, so that this can not be; if it is, the process stops in place of telling
-// callers what is not true.
+// A table without a service of its route would report that no route matches, and the client would
+// get status 404. Check rejects such a configuration; if one is used nevertheless, the process
+// must stop.
 func TestTableOfARouteWithoutItsServiceBreaksTheInvariant(t *testing.T) {
 	for name, parts := range map[string][]WeightedService{
-		"one part":       to("missing"),
+		"one part":       splitTo("missing"),
 		"the first part": {{Service: "missing", Weight: 1}, {Service: "a", Weight: 1}},
 		"the last part":  {{Service: "a", Weight: 1}, {Service: "missing", Weight: 1}},
 		"no part":        nil,
@@ -84,28 +84,28 @@
 			defer func() {
 				assert.Check(t, strings.Contains(fmt.Sprint(recover()), "route-service"))
 			}()
-			table(Route{Name: "r", Host: "h", Prefix: "/", Split: parts})
+			testTable(Route{Name: "r", Host: "h", Prefix: "/", Split: parts})
 		})
 	}
 }
 
-// Every route of a configuration that Check accepts takes requests of its prefix, or
-// another of its host does that comes before it; all lead to one of their services.
+// For every route of a valid configuration, a request for its prefix must match this route, or one
+// of higher precedence with the same prefix, and select one of the services of the match.
 func TestEveryRouteOfACheckedConfigurationLeadsToAService(t *testing.T) {
 	for seed := range uint64(1000) {
 		rng := rand.New(rand.NewPCG(seed, 8))
-		c := anyConfig(rng, 1)
+		c := randomConfigWithCollisions(rng, 1)
 		assert.NilError(t, c.Check())
 		tb := NewTable(c, rng)
 		for _, r := range c.Routes {
 			if r.Host != HostName(r.Host) {
-				continue // the decoder makes no such host
+				continue // the decoder normalizes host names
 			}
 			m, ok := tb.Find(r.Host, r.Prefix)
 			assert.Assert(t, ok, "seed %d", seed)
 			assert.Equal(t, m.Route.Prefix, r.Prefix)
 			named := slices.ContainsFunc(m.Route.Split, func(p WeightedService) bool { return p.Service == m.Service.Name })
-			assert.Check(t, named, "seed %d: %q is no service of %q", seed, m.Service.Name, m.Route.Name)
+			assert.Check(t, named, "seed %d: %q is not a service of route %q", seed, m.Service.Name, m.Route.Name)
 		}
 	}
 }
--- a/routing/tenant.go
+++ b/routing/tenant.go
@@ -6,65 +6,70 @@
 	"github.com/cockroachdb/errors"
 )
 
-// KeyDigest stands for an API key: keys themselves are in no configuration, message or log.
+// KeyDigest identifies an API key. The keys themselves must not appear in a configuration, a
+// message to a peer or a log.
 type KeyDigest [16]byte
 
-// keyLabel keeps digests of keys apart from those that other programs make of the same keys.
-const keyLabel = "cactusproxy api key\x00"
+// keyHashPrefix is hashed before the key, so that digests differ from those that other programs
+// compute of the same keys.
+const keyHashPrefix = "cactusproxy api key\x00"
 
-// usualKeyBytes is the length of keys up to which no memory is allocated for a digest.
-const usualKeyBytes = 256
+// typicalKeyBytes is the key length up to which DigestKey does not allocate memory.
+const typicalKeyBytes = 256
 
-// DigestKey returns the digest of an API key; false means that no tenant can hold it.
+// DigestKey returns the digest of an API key. It returns false for the empty key, which no tenant
+// can have.
 func DigestKey(key string) (d KeyDigest, ok bool) {
 	if key == "" {
 		return d, false
 	}
-	var room [len(keyLabel) + usualKeyBytes]byte
-	raw := append(append(room[:0], keyLabel...), key...)
+	var buf [len(keyHashPrefix) + typicalKeyBytes]byte
+	raw := append(append(buf[:0], keyHashPrefix...), key...)
 	sum := sha256.Sum256(raw)
 	copy(d[:], sum[:])
 	return d, true
 }
 
-// InheritPriority is the priority of a tenant whose requests have that of their routes.
+// InheritPriority is the value of Tenant.Priority for requests that use the priority of their
+// route.
 const InheritPriority = -1
 
-// Tenant is a customer of the operator: it is known by its keys and has a quota.
+// Tenant is a customer of the operator. It is identified by its API keys and may have a quota.
 type Tenant struct {
 	Name string      `msgpack:"name"`
 	Keys []KeyDigest `msgpack:"keys"`
-	// Priority is the rank of its requests, 0 being the most urgent, or RoutePriority.
+	// Priority ranks the tenant's requests, 0 being the most urgent, or is InheritPriority.
 	Priority int `msgpack:"priority"`
-	// Rate is the requests a second that all hosts together take of it, and Burst how many
-	// more may come at once. A rate of 0 means no limit.
+	// Rate is the quota in requests per second over all hosts, and Burst the number of
+	// requests accepted at once beyond it. A rate of 0 means no quota.
 	Rate  float64 `msgpack:"rate"`
 	Burst float64 `msgpack:"burst"`
-	// Regions are the only ones whose targets may get its requests; all if empty.
+	// Regions restricts the tenant's requests to targets in these regions. Empty means all
+	// regions.
 	Regions []string `msgpack:"regions"`
 }
 
-// Limited reports whether the tenant has a quota.
-func (t *Tenant) Limited() bool { return t.Rate > 0 }
+// HasQuota reports whether the tenant has a quota.
+func (t *Tenant) HasQuota() bool { return t.Rate > 0 }
 
-// checkTenants returns what is wrong with the tenants. A key of two tenants would make the
-// requests of one those of the other.
+// checkTenants returns an error if the tenants are invalid. A key must not be shared: requests of
+// one tenant would count as those of the other.
 func (c *Config) checkTenants() error {
 	names := make(map[string]bool, len(c.Tenants))
 	holders := make(map[KeyDigest]string, len(c.Tenants))
 	for _, t := range c.Tenants {
 		switch {
 		case t.Name == "":
-			return errors.New("tenant without a name")
+			return errors.New("tenant has no name")
 		case names[t.Name]:
-			return errors.Newf("tenant %q stands twice", t.Name)
+			return errors.Newf("duplicate tenant %q", t.Name)
 		case t.Rate < 0 || t.Burst < 0:
 			return errors.Newf("tenant %q has a negative rate or burst", t.Name)
 		}
 		names[t.Name] = true
 		for _, k := range t.Keys {
 			if holder, held := holders[k]; held && holder != t.Name {
-				return errors.Newf("tenants %q and %q hold the same key", holder, t.Name)
+				return errors.Newf("tenants %q and %q have the same key", holder, t.Name)
 			}
 			holders[k] = t.Name
 		}
@@ -72,26 +77,26 @@
 	return nil
 }
 
-// TenantByKey returns the tenant that holds a key, or nil.
+// TenantByKey returns the tenant with this API key, or nil.
 func (t *Table) TenantByKey(key string) *Tenant {
 	d, ok := DigestKey(key)
 	if !ok {
 		return nil
 	}
-	return t.byKey[d]
+	return t.tenantByKey[d]
 }
 
 // Tenant returns the tenant with this name, or nil.
-func (t *Table) Tenant(name string) *Tenant { return t.byTenant[name] }
+func (t *Table) Tenant(name string) *Tenant { return t.tenantByName[name] }
 
-func (t *Table) addTenants(c *Config) {
-	t.byTenant = make(map[string]*Tenant, len(c.Tenants))
-	t.byKey = make(map[KeyDigest]*Tenant, len(c.Tenants))
+func (t *Table) indexTenants(c *Config) {
+	t.tenantByName = make(map[string]*Tenant, len(c.Tenants))
+	t.tenantByKey = make(map[KeyDigest]*Tenant, len(c.Tenants))
 	for i := range c.Tenants {
 		tenant := &c.Tenants[i]
-		t.byTenant[tenant.Name] = tenant
+		t.tenantByName[tenant.Name] = tenant
 		for _, k := range tenant.Keys {
-			t.byKey[k] = tenant
+			t.tenantByKey[k] = tenant
 		}
 	}
 }
--- a/routing/tenant_test.go
+++ b/routing/tenant_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// digestsOf returns the digests of keys.
+// digestsOf returns the digests of all keys that are not empty.
 func digestsOf(keys ...string) (list []KeyDigest) {
 	for _, k := range keys {
 		if d, ok := DigestKey(k); ok {
@@ -19,12 +19,12 @@
 	return list
 }
 
-// tenantsConfig is a configuration with some tenants alone.
+// tenantsConfig returns a configuration with tenants and no routes.
 func tenantsConfig(tenants ...Tenant) *Config {
 	return &Config{Version: 1, RequiresKey: true, Tenants: tenants}
 }
 
-func tableOf(t testing.TB, c *Config) *Table {
+func checkedTable(t testing.TB, c *Config) *Table {
 	t.Helper()
 	assert.NilError(t, c.Check())
 	return NewTable(c, rand.New(rand.NewPCG(1, 1)))
@@ -32,7 +32,7 @@
 
 func TestHolderOfAKey(t *testing.T) {
 	long := strings.Repeat("k", 10<<10)
-	tb := tableOf(t, tenantsConfig(
+	tb := checkedTable(t, tenantsConfig(
 		Tenant{Name: "a", Keys: digestsOf("key-1", "key-2")},
 		Tenant{Name: "b", Keys: digestsOf("key-3")},
 		Tenant{Name: "none"},
@@ -46,7 +46,7 @@
 	}
 }
 
-// A key that two tenants hold would make the requests of one those of the other.
+// A key of two tenants would make requests of one count as those of the other.
 func TestKeyOfTwoTenantsIsRefused(t *testing.T) {
 	for name, tenants := range map[string][]Tenant{
 		"shared key": {{Name: "a", Keys: digestsOf("k")}, {Name: "b", Keys: digestsOf("x", "k")}},
@@ -57,7 +57,7 @@
 	} {
 		assert.Check(t, tenantsConfig(tenants...).Check() != nil, name)
 	}
-	assert.NilError(t, tenantsConfig(Tenant{Name: "a", Keys: digestsOf("k", "k")}).Check(), "a key that stands twice is one key")
+	assert.NilError(t, tenantsConfig(Tenant{Name: "a", Keys: digestsOf("k", "k")}).Check(), "a tenant may list a key twice")
 }
 
 func TestThousandsOfKeysAreAllFound(t *testing.T) {
@@ -65,7 +65,7 @@
 	for i := range 10_000 {
 		tenants = append(tenants, Tenant{Name: fmt.Sprint("t", i), Keys: digestsOf(fmt.Sprint("k", i), fmt.Sprint("l", i))})
 	}
-	tb := tableOf(t, tenantsConfig(tenants...))
+	tb := checkedTable(t, tenantsConfig(tenants...))
 	for i := range tenants {
 		assert.Equal(t, tb.TenantByKey(fmt.Sprint("l", i)).Name, tenants[i].Name)
 	}
@@ -76,7 +76,7 @@
 	for i := range 10_000 {
 		tenants = append(tenants, Tenant{Name: fmt.Sprint("t", i), Keys: digestsOf(fmt.Sprint("key-of-tenant-", i))})
 	}
-	tb := tableOf(b, tenantsConfig(tenants...))
+	tb := checkedTable(b, tenantsConfig(tenants...))
 	b.ReportAllocs()
 	for b.Loop() {
 		tb.TenantByKey("key-of-tenant-777")
