--- a/settings/check.go
+++ b/settings/check.go
@@ -9,20 +9,20 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// fault is a fault before its place in the file is known.
-type fault struct {
+// invalidSetting is an invalid setting. locate turns it into a Problem with its line in the file.
+type invalidSetting struct {
 	field   string
 	message string
 }
 
-// checker collects faults.
-type checker struct{ faults []fault }
+// checker collects invalid settings.
+type checker struct{ invalid []invalidSetting }
 
 func (c *checker) add(field, format string, args ...any) {
-	c.faults = append(c.faults, fault{field: field, message: fmt.Sprintf(format, args...)})
+	c.invalid = append(c.invalid, invalidSetting{field: field, message: fmt.Sprintf(format, args...)})
 }
 
-func (s *Settings) check() []fault {
+func (s *Settings) check() []invalidSetting {
 	c := new(checker)
 	c.required("host.id", s.Host.ID)
 	c.required("host.zone", s.Host.Zone)
@@ -47,7 +47,7 @@
 	c.duration("drain.limit", s.Drain.Limit)
 	c.plaintext(s.Plaintext)
 	c.logLevel(s.LogLevel)
-	return c.faults
+	return c.invalid
 }
 
 func (c *checker) required(field, v string) {
@@ -58,7 +58,7 @@
 
 func (c *checker) notNegative(field string, n int64) {
 	if n < 0 {
-		c.add(field, "must not be negative, is %d", n)
+		c.add(field, "must not be negative, got %d", n)
 	}
 }
 
@@ -68,21 +68,21 @@
 	}
 	v, err := time.ParseDuration(string(d))
 	if err != nil {
-		c.add(field, "want a duration such as \"5s\", have %q", string(d))
+		c.add(field, "want a duration such as \"5s\", got %q", string(d))
 		return
 	}
 	if v <= 0 {
-		c.add(field, "must be positive, is %s", v)
+		c.add(field, "must be positive, got %s", v)
 	}
 }
 
-// listener checks an address. Processes learn their addresses from settings,
-// as numbers: a name could be resolved differently by each host.
+// listener checks the address and TLS settings of a listener. Addresses must be numeric, as each
+// host might resolve a name differently.
 func (c *checker) listener(section, addr string, t TLS, keyed bool, plaintext string) {
 	field := section + ".addr"
 	ap, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		c.add(field, "want an IP address and port such as 127.0.0.1:8080, have %q", addr)
+		c.add(field, "want an IP address and port such as 127.0.0.1:8080, got %q", addr)
 		return
 	}
 	if (t.Cert == "") != (t.Key == "") {
@@ -93,7 +93,7 @@
 	}
 	open := !t.Enabled() && !keyed && !ap.Addr().IsLoopback()
 	if open && plaintext != AcceptPlaintext {
-		c.add(field, "%s is not loopback and has no TLS; set it up, or set \"plaintext\": %q", addr, AcceptPlaintext)
+		c.add(field, "%s is not loopback and has no TLS; configure TLS, or set \"plaintext\": %q", addr, AcceptPlaintext)
 	}
 }
 
@@ -107,11 +107,11 @@
 func (c *checker) platform(p Platform) {
 	u, err := url.Parse(p.URL)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		c.add("platform.url", "want a URL such as http://127.0.0.1:7000, have %q", p.URL)
+		c.add("platform.url", "want a URL such as http://127.0.0.1:7000, got %q", p.URL)
 	}
 }
 
-// directory checks what is used with a directory alone.
+// directory checks the settings that are only used with a directory.
 func (c *checker) directory(s *Settings) {
 	c.address("directory.store", s.Directory.Store)
 	c.address("readiness.addr", s.Readiness.Addr)
@@ -120,43 +120,43 @@
 	}
 	c.duration("retries.window", s.Retries.Window)
 	if s.Retries.Ratio < 0 || s.Retries.Ratio > 1 {
-		c.add("retries.ratio", "want a share from 0 to 1, have %g", s.Retries.Ratio)
+		c.add("retries.ratio", "want a number from 0 to 1, got %g", s.Retries.Ratio)
 	}
 	if s.Retries.Reserve < 0 {
-		c.add("retries.reserve", "must not be negative, is %g", s.Retries.Reserve)
+		c.add("retries.reserve", "must not be negative, got %g", s.Retries.Reserve)
 	}
 	c.quotas(s.Quotas)
 	if s.Measuring.PerTarget < 0 {
-		c.add("measuring.perTarget", "must not be negative, is %g", s.Measuring.PerTarget)
+		c.add("measuring.perTarget", "must not be negative, got %g", s.Measuring.PerTarget)
 	}
 	if region, ok := s.Zones[s.Host.Zone]; ok && s.Host.Region != "" && region != s.Host.Region {
-		c.add("zones", "the host's zone %q is in region %q by host.region, here in %q", s.Host.Zone, s.Host.Region, region)
+		c.add("zones", "zone %q of this host is in region %q according to host.region, but in %q here", s.Host.Zone, s.Host.Region, region)
 	}
 	c.notNegative("memoryMB", int64(s.MemoryMB))
 	if s.LinkMbps < 0 {
-		c.add("linkMbps", "must not be negative, is %g", s.LinkMbps)
+		c.add("linkMbps", "must not be negative, got %g", s.LinkMbps)
 	}
 }
 
 func (c *checker) quotas(q Quotas) {
 	c.duration("quotas.window", q.Window)
 	if q.Share < 0 || q.Share > 1 {
-		c.add("quotas.share", "want a share from 0 to 1, have %g", q.Share)
+		c.add("quotas.share", "want a number from 0 to 1, got %g", q.Share)
 	}
 	if q.Requests < 0 {
-		c.add("quotas.requests", "must not be negative, is %g", q.Requests)
+		c.add("quotas.requests", "must not be negative, got %g", q.Requests)
 	}
 }
 
 func (c *checker) address(field, addr string) {
 	if _, err := netip.ParseAddrPort(addr); err != nil {
-		c.add(field, "want an IP address and port such as 127.0.0.1:8080, have %q", addr)
+		c.add(field, "want an IP address and port such as 127.0.0.1:8080, got %q", addr)
 	}
 }
 
-func (c *checker) plaintext(words string) {
-	if words != "" && words != AcceptPlaintext {
-		c.add("plaintext", "the only words it takes are %q", AcceptPlaintext)
+func (c *checker) plaintext(value string) {
+	if value != "" && value != AcceptPlaintext {
+		c.add("plaintext", "the only accepted value is %q", AcceptPlaintext)
 	}
 }
 
@@ -165,6 +165,6 @@
 		return
 	}
 	if _, err := zapcore.ParseLevel(level); err != nil {
-		c.add("logLevel", "want debug, info, warn or error, have %q", level)
+		c.add("logLevel", "want debug, info, warn or error, got %q", level)
 	}
 }
--- a/settings/files.go
+++ b/settings/files.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// minKeyBytes is the least length of a shared key.
+// minKeyBytes is the minimum length of a shared key.
 const minKeyBytes = 32
 
-// Secret reads a file without the white space around its content; an empty
-// name gives nil.
+// Secret returns the content of a file without leading and trailing white space. It returns
+// nil for an empty file name, and an error for an empty file.
 func Secret(file string) ([]byte, error) {
 	if file == "" {
 		return nil, nil
@@ -24,24 +24,25 @@
 	}
 	b = bytes.TrimSpace(b)
 	if len(b) == 0 {
-		return nil, errors.Newf("secret %s is empty", file)
+		return nil, errors.Newf("secret file %s is empty", file)
 	}
 	return b, nil
 }
 
-// Key reads a shared key of at least 32 bytes; an empty name gives nil.
+// Key returns the shared key in a file, which must have at least 32 bytes. It returns nil for
+// an empty file name.
 func Key(file string) ([]byte, error) {
 	b, err := Secret(file)
 	if err != nil || b == nil {
 		return nil, err
 	}
 	if len(b) < minKeyBytes {
-		return nil, errors.Newf("key %s has %d bytes, need %d", file, len(b), minKeyBytes)
+		return nil, errors.Newf("key file %s has %d bytes, need %d", file, len(b), minKeyBytes)
 	}
 	return b, nil
 }
 
-// Server returns the configuration of a listener, or nil without a certificate.
+// Server returns the TLS configuration of a listener, or nil if it has no certificate.
 func (t TLS) Server() (*tls.Config, error) {
 	if !t.Enabled() {
 		return nil, nil
@@ -54,7 +55,7 @@
 	if t.ClientCA == "" {
 		return c, nil
 	}
-	pool, err := certPool(t.ClientCA)
+	pool, err := loadCertPool(t.ClientCA)
 	if err != nil {
 		return nil, err
 	}
@@ -64,26 +65,26 @@
 	return c, nil
 }
 
-// Client returns the configuration towards targets, or nil without a CA.
+// Client returns the TLS configuration for connections to targets, or nil if there is no CA.
 func (t Targets) Client() (*tls.Config, error) {
 	if t.CA == "" {
 		return nil, nil
 	}
-	pool, err := certPool(t.CA)
+	pool, err := loadCertPool(t.CA)
 	if err != nil {
 		return nil, err
 	}
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}, nil
 }
 
-func certPool(file string) (*x509.CertPool, error) {
+func loadCertPool(file string) (*x509.CertPool, error) {
 	pem, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "read certificates")
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, errors.Newf("%s holds no certificate", file)
+		return nil, errors.Newf("%s contains no certificates", file)
 	}
 	return pool, nil
 }
--- a/settings/load.go
+++ b/settings/load.go
@@ -12,17 +12,17 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one fault of a settings file.
+// Problem is an error in a settings file.
 type Problem struct {
 	File string
-	// Line counts from 1; 0 if the fault has no place in the file.
+	// Line counts from 1. It is 0 if the error has no position in the file.
 	Line int
-	// Field is the path of the field with dots, such as callers.addr.
+	// Field is the dotted path of the field, such as callers.addr. It may be empty.
 	Field   string
 	Message string
 }
 
-// Error returns file:line: field: message.
+// Error formats the problem as "file:line: field: message".
 func (p Problem) Error() string {
 	var b strings.Builder
 	b.WriteString(p.File)
@@ -37,7 +37,7 @@
 	return b.String()
 }
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -46,13 +46,13 @@
 	return Parse(file, data)
 }
 
-// Parse reads and checks settings; file is named in errors only. The error
-// joins one Problem for each fault found.
+// Parse decodes and validates settings in JSON with comments. file is only used in errors. The
+// error is a Problem, or several of them joined.
 func Parse(file string, data []byte) (*Settings, error) {
 	src := source{file: file, data: data}
 	tree, err := hujson.Parse(data)
 	if err != nil {
-		return nil, src.syntax(err)
+		return nil, src.syntaxProblem(err)
 	}
 	src.tree = tree
 	plain := tree.Clone()
@@ -61,7 +61,7 @@
 	dec.DisallowUnknownFields()
 	s := new(Settings)
 	if err := dec.Decode(s); err != nil {
-		return nil, src.decode(err)
+		return nil, src.decodeProblem(err)
 	}
 	if problems := src.locate(s.check()); len(problems) > 0 {
 		return nil, errors.Join(problems...)
@@ -69,17 +69,17 @@
 	return s, nil
 }
 
-// source finds the places of faults in a file.
+// source is a settings file. It finds the positions of errors.
 type source struct {
 	file string
 	data []byte
 	tree hujson.Value
 }
 
-var syntaxPlace = regexp.MustCompile(`line (\d+), column \d+: (.*)$`)
+var syntaxErrorPattern = regexp.MustCompile(`line (\d+), column \d+: (.*)$`)
 
-func (s source) syntax(err error) error {
-	m := syntaxPlace.FindStringSubmatch(err.Error())
+func (s source) syntaxProblem(err error) error {
+	m := syntaxErrorPattern.FindStringSubmatch(err.Error())
 	if m == nil {
 		return Problem{File: s.file, Message: err.Error()}
 	}
@@ -88,15 +88,15 @@
 	return Problem{File: s.file, Line: line, Message: m[2]}
 }
 
-var unknownField = regexp.MustCompile(`unknown field "(.*)"`)
+var unknownFieldPattern = regexp.MustCompile(`unknown field "(.*)"`)
 
-func (s source) decode(err error) error {
+func (s source) decodeProblem(err error) error {
 	var typ *json.UnmarshalTypeError
 	if errors.As(err, &typ) {
-		msg := fmt.Sprintf("want %s, have a %s", typ.Type, typ.Value)
+		msg := fmt.Sprintf("want %s, got %s", typ.Type, typ.Value)
 		return Problem{File: s.file, Line: s.line(int(typ.Offset)), Field: typ.Field, Message: msg}
 	}
-	if m := unknownField.FindStringSubmatch(err.Error()); m != nil {
+	if m := unknownFieldPattern.FindStringSubmatch(err.Error()); m != nil {
 		return Problem{File: s.file, Line: s.lineOfName(m[1]), Field: m[1], Message: "unknown field"}
 	}
 	return Problem{File: s.file, Message: err.Error()}
@@ -123,11 +123,11 @@
 	return 0
 }
 
-// locate gives each fault its line: that of the field or, if the field is
-// absent, of the nearest object around it.
-func (s source) locate(faults []fault) []error {
-	out := make([]error, 0, len(faults))
-	for _, f := range faults {
+// locate converts invalid settings to Problems. The line is that of the field or, if the field is
+// absent, of the innermost object that should contain it.
+func (s source) locate(invalid []invalidSetting) []error {
+	out := make([]error, 0, len(invalid))
+	for _, f := range invalid {
 		p := Problem{File: s.file, Field: f.field, Message: f.message}
 		path := "/" + strings.ReplaceAll(f.field, ".", "/")
 		for path != "" {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,209 +1,209 @@
-// Package settings holds what one daemon is told at its start: who it is, where
-// it listens and where the platform is. It is read once and never changes while
-// the daemon runs; what operators change at run time is in package declare.
+// Package settings reads and validates the settings file of a daemon: its identity, its listeners,
+// the address of the platform, and local limits.
+//
+// The file is JSON with comments. Load reports all invalid settings with file, line and field.
+// Watch polls the file for changes; of these only peers.seeds takes effect without a restart.
+// What operators change at run time is not in the settings but in the configuration; see packages
+// declare and routing.
 package settings
 
 import "time"
 
-// Settings of one daemon, in JSON with comments.
+// Settings are the settings of one daemon.
 type Settings struct {
-	// Host says who this daemon is.
+	// Host identifies this daemon.
 	Host Host `json:"host"`
-	// Callers is the listener for callers' HTTP.
+	// Callers configures the listener for client traffic.
 	Callers Callers `json:"callers"`
-	// Operators is the listener for cactusctl and metrics.
+	// Operators configures the listener for cactusctl and metrics.
 	Operators Operators `json:"operators"`
-	// Peers is the listener for other entry hosts.
+	// Peers configures the listener for other proxy hosts.
 	Peers Peers `json:"peers"`
-	// Platform says where the table, the object store and the host list are.
+	// Platform locates the platform's table, object store and list of hosts.
 	Platform Platform `json:"platform"`
-	// Directory says where the platform keeps its record of routes and targets,
-	// on platforms that keep one. Platform and Operators' changes are not used
-	// there.
+	// Directory locates the directory of routes and targets, on platforms that have one. With
+	// a directory, Platform is not used, and operators make no changes through Operators.
 	Directory Directory `json:"directory,omitzero"`
-	// Readiness is the listener for the platform's balancer; without it the
-	// callers' listener answers.
+	// Readiness configures the listener for readiness checks of the platform's load balancer.
+	// Without it the listener for client traffic responds to them.
 	Readiness Readiness `json:"readiness,omitzero"`
-	// Retries bounds further attempts, Measuring questions to targets; both are
-	// used with a directory alone.
+	// Retries limits retries, and Measuring limits health probes. Both are only used with a
+	// directory.
 	Retries   Retries   `json:"retries,omitzero"`
 	Measuring Measuring `json:"measuring,omitzero"`
-	// Quotas says how exactly tenants' quotas are kept; used with a directory alone.
+	// Quotas is the tolerance of tenants' quotas. It is only used with a directory.
 	Quotas Quotas `json:"quotas,omitzero"`
-	// MemoryMB is the memory that the daemon may use, in megabytes; 0 is no limit.
+	// MemoryMB is the memory limit of the daemon in megabytes. 0 means no limit.
 	MemoryMB int `json:"memoryMB,omitempty"`
-	// LinkMbps is what the host's link carries each way, in megabits a second; 0 if not
-	// known.
+	// LinkMbps is the bandwidth of the host's network link in each direction, in megabits per
+	// second. 0 means unknown.
 	LinkMbps float64 `json:"linkMbps,omitempty"`
-	// Zones are the regions of all availability zones, by zone; needed where routes are
-	// bound to regions.
+	// Zones maps every availability zone to its region. It is needed if routes or tenants are
+	// restricted to regions.
 	Zones map[string]string `json:"zones,omitempty"`
-	// Targets says how to connect to targets.
+	// Targets configures connections to targets.
 	Targets Targets `json:"targets,omitzero"`
-	// Keys is for idempotency keys that hosts issue.
+	// Keys configures the idempotency keys that hosts issue.
 	Keys Keys `json:"keys,omitzero"`
-	// Drain is how the daemon stops.
+	// Drain configures the graceful shutdown.
 	Drain Drain `json:"drain,omitzero"`
-	// Plaintext must be the words of AcceptPlaintext if a listener outside
-	// loopback has no TLS, or, for peers, no key.
+	// Plaintext must be the text of AcceptPlaintext if a listener outside loopback has neither
+	// TLS nor, for peers, a key.
 	Plaintext string `json:"plaintext,omitempty"`
 	// LogLevel is debug, info, warn or error; info if empty.
 	LogLevel string `json:"logLevel,omitempty"`
 }
 
-// AcceptPlaintext is what Plaintext must say for a listener outside loopback to
-// start without protection.
+// AcceptPlaintext is the value of Settings.Plaintext that permits unprotected listeners outside
+// loopback.
 const AcceptPlaintext = "accept plaintext outside loopback"
 
-// Host says who a daemon is.
+// Host identifies a daemon.
 type Host struct {
-	// ID is the host's name in the platform's list.
+	// ID is the name of the host in the platform's list of hosts.
 	ID string `json:"id"`
 	// Zone is the host's availability zone.
 	Zone string `json:"zone"`
-	// Region is the region the zone is in; optional.
+	// Region is the region of the zone. It is optional.
 	Region string `json:"region,omitempty"`
 }
 
-// Callers is the listener for callers.
+// Callers configures the listener for client traffic.
 type Callers struct {
 	// Addr is an IP address and port.
 	Addr string `json:"addr"`
 	TLS  TLS    `json:"tls,omitzero"`
-	// MaxHeaderBytes bounds a request's header; 64 KiB if 0, with a directory 256 KiB.
+	// MaxHeaderBytes bounds the header of a request. The default is 64 KiB, and 256 KiB with a
+	// directory.
 	MaxHeaderBytes int `json:"maxHeaderBytes,omitempty"`
-	// BodyMemoryBytes bounds the bodies kept in memory for retries over all
-	// calls; 128 MiB if 0.
+	// BodyMemoryBytes bounds the total memory of request bodies buffered for retries. The
+	// default is 128 MiB; with a directory, a quarter of MemoryMB, or 64 MiB without a limit.
 	BodyMemoryBytes int64 `json:"bodyMemoryBytes,omitempty"`
-	// ReadHeaderTimeout bounds the arrival of a request's header; "5s" if empty, with a
-	// directory "15s".
+	// ReadHeaderTimeout bounds the time for a request's header to arrive. The default is
+	// "5s", and "15s" with a directory.
 	ReadHeaderTimeout Duration `json:"readHeaderTimeout,omitempty"`
-	// IdleTimeout closes a caller's connection unused for this long; "120s" if
-	// empty.
+	// IdleTimeout is the time after which an idle client connection is closed. The default is
+	// "120s".
 	IdleTimeout Duration `json:"idleTimeout,omitempty"`
 }
 
-// Operators is the listener for operators.
+// Operators configures the listener for operators.
 type Operators struct {
 	Addr string `json:"addr"`
 	TLS  TLS    `json:"tls,omitzero"`
-	// TokenFile holds the token that changes must carry. Without it every
-	// change is refused; plan, status, history and metrics need none.
+	// TokenFile is the file with the token that changes must carry. Without it all changes
+	// are rejected. The commands plan, status and history, and metrics, need no token.
 	TokenFile string `json:"tokenFile,omitempty"`
 }
 
-// Peers is the listener for other entry hosts.
+// Peers configures the listener for other proxy hosts.
 type Peers struct {
-	// Addr is where the daemon listens; Advertise is the address that others
-	// use, if it differs.
+	// Addr is the listen address. Advertise is the address that other hosts connect to, if it
+	// differs.
 	Addr      string `json:"addr"`
 	Advertise string `json:"advertise,omitempty"`
-	// Seeds are peer addresses of other hosts, to begin with; used with a
-	// directory alone.
+	// Seeds are the peer addresses of hosts to contact first. They are only used with a
+	// directory.
 	Seeds []string `json:"seeds,omitempty"`
-	// TLS with a client CA is mutual TLS.
+	// TLS with a client CA means mutual TLS.
 	TLS TLS `json:"tls,omitzero"`
-	// KeyFile holds a key shared by all hosts that authenticates frames, in
-	// place of TLS; at least 32 bytes.
+	// KeyFile is the file with a key of at least 32 bytes, shared by all hosts, that
+	// authenticates frames. It is an alternative to TLS.
 	KeyFile string `json:"keyFile,omitempty"`
 }
 
-// Platform says where the platform's services are.
+// Platform locates the services of the platform.
 type Platform struct {
-	// URL is the base URL of the table, object store and host list.
+	// URL is the base URL of the table, the object store and the list of hosts.
 	URL string `json:"url"`
-	// TokenFile holds the bearer token, if one is needed.
+	// TokenFile is the file with the bearer token, if one is needed.
 	TokenFile string `json:"tokenFile,omitempty"`
-	// Timeout bounds one request; "2s" if empty.
+	// Timeout bounds one request. The default is "2s".
 	Timeout Duration `json:"timeout,omitempty"`
-	// WritesPerSecond is how many transactions a second the claims of all hosts
-	// together may use; 300 if 0.
+	// WritesPerSecond limits the transactions per second for idempotency-key claims, over all
+	// hosts. The default is 300.
 	WritesPerSecond int `json:"writesPerSecond,omitempty"`
 }
 
-// Directory says where the platform's record is.
+// Directory locates the platform's directory of routes and targets.
 type Directory struct {
 	// Store is the IP address and port of the platform's store.
 	Store string `json:"store"`
-	// FirstStart is set when the whole system starts for the first time, and
-	// there is time before callers come.
+	// FirstStart is set when all hosts start for the first time and there is no client
+	// traffic yet.
 	FirstStart bool `json:"firstStart,omitempty"`
 }
 
-// Readiness is the listener for the platform's balancer.
+// Readiness configures the listener for readiness checks.
 type Readiness struct {
 	Addr string `json:"addr"`
 }
 
-// Retries bounds the further attempts of a service's calls over all hosts: in
-// every span as long as Window, no more than Ratio for each call and Reserve
-// besides.
+// Retries limits the retries for each service over all hosts: in any interval of length Window, at
+// most Ratio retries per request, plus Reserve.
 type Retries struct {
 	Ratio   float64  `json:"ratio"`
 	Window  Duration `json:"window"`
 	Reserve float64  `json:"reserve"`
 }
 
-// Measuring bounds questions to targets.
+// Measuring limits health probes.
 type Measuring struct {
-	// PerTarget is the questions that a target may get in a second, from all hosts
-	// together.
+	// PerTarget is the maximum number of probes per second to one target, over all hosts.
 	PerTarget float64 `json:"perTarget"`
 }
 
-// Quotas is by how much all hosts together may exceed a tenant's quota: in every span as
-// long as Window, by Share of the quota and Requests besides.
+// Quotas is the tolerance of tenants' quotas: in any interval of length Window, all hosts together
+// may exceed a quota by the fraction Share of it, plus Requests.
 type Quotas struct {
 	Window   Duration `json:"window"`
 	Share    float64  `json:"share"`
 	Requests float64  `json:"requests"`
 }
 
-// Targets says how to connect to targets.
+// Targets configures connections to targets.
 type Targets struct {
-	// CA holds the certificates that targets' certificates are checked
-	// against; empty means plain TCP.
+	// CA is the file with the CA certificates that verify targets. Empty means plain TCP.
 	CA string `json:"ca,omitempty"`
-	// DialTimeout bounds a new connection; "1s" if empty.
+	// DialTimeout bounds a new connection. The default is "1s", and "250ms" with a directory.
 	DialTimeout Duration `json:"dialTimeout,omitempty"`
 }
 
-// Keys is for idempotency keys that hosts issue.
+// Keys configures the idempotency keys that hosts issue.
 type Keys struct {
-	// File holds the key that authenticates issued keys, the same on all
-	// hosts; at least 32 bytes. Without it no keys are issued.
+	// File is the file with the secret of at least 32 bytes that authenticates issued keys. It
+	// must be the same on all hosts. Without it no keys are issued.
 	File string `json:"file,omitempty"`
-	// Window is how long a key that carries its time is good for; "24h" if
-	// empty.
+	// Window is the validity of keys that contain their time of issue. The default is "24h".
 	Window Duration `json:"window,omitempty"`
 }
 
-// Drain is how the daemon stops.
+// Drain configures the graceful shutdown.
 type Drain struct {
-	// Notice is how long the balancer and callers are told before the
-	// listener closes; "5s" if empty.
+	// Notice is the time between the announcement of the shutdown to the load balancer and
+	// clients and the closing of the listener. The default is "5s", and "2.8s" with a
+	// directory.
 	Notice Duration `json:"notice,omitempty"`
-	// Limit cuts off calls still in flight after this time, with a warning;
-	// "10m" if empty.
+	// Limit is the time after which requests still in flight are cut off, with a warning. The
+	// default is "10m", and "5.5s" with a directory.
 	Limit Duration `json:"limit,omitempty"`
 }
 
-// TLS names the files of a listener's certificate.
+// TLS holds the paths of a listener's TLS files. TLS is disabled without a certificate.
 type TLS struct {
 	Cert string `json:"cert,omitempty"`
 	Key  string `json:"key,omitempty"`
-	// ClientCA has clients prove themselves with a certificate of this CA.
+	// ClientCA is the CA that verifies client certificates, which are then required.
 	ClientCA string `json:"clientCA,omitempty"`
 }
 
-// Enabled reports whether a certificate is named.
+// Enabled reports whether TLS is configured.
 func (t TLS) Enabled() bool { return t.Cert != "" }
 
-// Duration is a time.Duration as time.ParseDuration reads it.
+// Duration is a duration in the format of time.ParseDuration. It may be empty.
 type Duration string
 
-// Or returns the duration, or otherwise if it is empty. The text was checked
-// when the settings were loaded.
+// Or returns the duration, or otherwise if it is empty. Load has validated the text.
 func (d Duration) Or(otherwise time.Duration) time.Duration {
 	v, err := time.ParseDuration(string(d))
 	if err != nil {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-const good = `{
-  // who we are
+const validSettings = `{
+  // identity of this host
   "host": {"id": "entry-1", "zone": "a"},
   "callers": {"addr": "127.0.0.1:8080"},
   "operators": {"addr": "127.0.0.1:8081"},
@@ -18,7 +18,7 @@
 }`
 
 func TestParseGoodSettings(t *testing.T) {
-	s, err := Parse("good.json", []byte(good))
+	s, err := Parse("good.json", []byte(validSettings))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Platform.Timeout.Or(time.Second), 3*time.Second)
 	assert.Equal(t, s.Drain.Limit.Or(time.Minute), time.Minute)
@@ -28,7 +28,7 @@
 	for _, tc := range []struct{ name, data, want string }{
 		{"syntax", "{\n  \"host\": ,\n}", "x.json:2: "},
 		{"unknown field", "{\n  \"host\": {\n    \"nmae\": 1}}", "x.json:3: nmae: unknown field"},
-		{"wrong type", "{\n  \"host\": {\n    \"id\": 1}}", "x.json:3: host.id: want string, have a number"},
+		{"wrong type", "{\n  \"host\": {\n    \"id\": 1}}", "x.json:3: host.id: want string, got number"},
 		{"missing", "{\n  \"host\": {}}", "x.json:2: host.id: must be given"},
 		{"bad duration", "{\n\"drain\": {\n\"limit\": \"long\"}}", "x.json:3: drain.limit: want a duration"},
 		{"name for address", "{\n\"callers\": {\n\"addr\": \"localhost:1\"}}", "x.json:3: callers.addr: want an IP address"},
--- a/settings/follow_test.go
+++ b/settings/watch_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const followed = `{
+const watchedSettings = `{
 	"host": {"id": "h1", "zone": "a"},
 	"callers": {"addr": "127.0.0.1:1"},
 	"operators": {"addr": "127.0.0.1:2"},
@@ -21,12 +21,12 @@
 	"directory": {"store": "127.0.0.1:5"},
 }`
 
-// A platform rewrites the settings file and signals, or rewrites it and says
-// nothing, or writes half a file. The daemon must hear of the first two, and of
-// the third as an error that changes nothing.
-func TestFollowReportsSignalsChangesAndFaults(t *testing.T) {
+// A signal must cause a report even if the file has not changed, and an unchanged file must not be
+// reported without one. A truncated file that was written without a signal must be reported as an
+// error.
+func TestWatchReportsSignalsChangesAndErrors(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "settings.jsonc")
-	assert.NilError(t, os.WriteFile(file, []byte(followed), 0o600))
+	assert.NilError(t, os.WriteFile(file, []byte(watchedSettings), 0o600))
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		signals := make(chan os.Signal, 1)
@@ -39,12 +39,12 @@
 		assert.NilError(t, got[0].Err)
 		assert.DeepEqual(t, got[0].Settings.Peers.Seeds, []string{"127.0.0.1:9"})
 
-		time.Sleep(2 * followEvery)
+		time.Sleep(2 * pollInterval)
 		synctest.Wait()
 		assert.Equal(t, len(got), 1, "an unchanged file was reported")
 
-		assert.NilError(t, os.WriteFile(file, []byte(followed[:40]), 0o600))
-		time.Sleep(2 * followEvery)
+		assert.NilError(t, os.WriteFile(file, []byte(watchedSettings[:40]), 0o600))
+		time.Sleep(2 * pollInterval)
 		synctest.Wait()
 		assert.Equal(t, len(got), 2)
 		assert.Check(t, got[1].Err != nil)
