--- a/routing/delta_test.go
+++ b/routing/delta_test.go
@@ -21,7 +21,7 @@
 		c.Routes = append(c.Routes, Route{
 			Name: fmt.Sprintf("r%d", i), Host: "h", Prefix: "/", Kind: Safe,
 			Timeout: time.Duration(1+rng.IntN(3)) * time.Second, MaxAttempts: 1 + rng.IntN(2),
-			Parts: []Part{{Service: []string{"a", "b"}[rng.IntN(2)], Weight: 1}},
+			Split: []WeightedService{{Service: []string{"a", "b"}[rng.IntN(2)], Weight: 1}},
 		})
 	}
 	return c
@@ -42,13 +42,13 @@
 	}
 }
 
-// A host that missed a version must not apply what leads on from it: it would put
-// a configuration in force that no operator wrote.
+// A host that missed a version must not apply a delta based on it: the result would be a
+// configuration that no operator wrote.
 func TestDeltaFromAnotherBaseIsRefused(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 1))
 	d := Diff(randomConfig(rng, 3), randomConfig(rng, 7))
 	for _, c := range []*Config{nil, randomConfig(rng, 2), randomConfig(rng, 7)} {
 		_, err := c.Apply(d)
-		assert.Check(t, errors.Is(err, ErrOtherBase))
+		assert.Check(t, errors.Is(err, ErrBaseMismatch))
 	}
 }
