--- a/controller/watch/bench_test.go
+++ b/controller/watch/bench_test.go
@@ -14,8 +14,8 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// manyTargets is a list of targets over four services, the first of which has half of them.
-func manyTargets(n int) directory.Changes {
+// targetList returns a list of n targets of four services, the first of which has half of them.
+func targetList(n int) directory.Changes {
 	c := directory.Changes{Revision: directory.Revision(n), AllTargets: true}
 	for i := range n {
 		c.Targets = append(c.Targets, changedTarget(i, directory.Revision(i+1)))
@@ -30,7 +30,7 @@
 	}
 }
 
-func newAlone(tb testing.TB) *Controller {
+func newController(tb testing.TB) *Controller {
 	tb.Helper()
 	board := blackboard.New()
 	tb.Cleanup(func() { _ = board.Close() })
@@ -40,14 +40,14 @@
 	})
 }
 
-// A release changes thousands of targets, each at every host: what a change costs must not grow
-// with all targets that there are.
+// A release changes thousands of targets, each at every host: the cost of a change must not grow
+// with the total number of targets.
 func BenchmarkOneChangeAmongTargets(b *testing.B) {
 	for _, n := range []int{1_000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newAlone(b)
+			c := newController(b)
 			now := time.Now()
-			c.merge(now, manyTargets(n), "other")
+			c.merge(now, targetList(n), "other")
 			at := directory.Revision(n)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/controller/watch/bootstrap.go
+++ b/controller/watch/bootstrap.go
@@ -14,36 +14,34 @@
 )
 
 const (
-	// seedTimeout bounds what a first start waits for other hosts before it reads the
-	// list of hosts. Callers come seconds later, and a seed on a small host has to accept
-	// connections of hundreds of others first.
+	// seedTimeout bounds how long a first start waits for the seeds before it reads the list of
+	// hosts from the store. Callers arrive seconds later, and a seed on a small host first has
+	// to accept connections from hundreds of other hosts.
 	seedTimeout = 1500 * time.Millisecond
-	// seedsSeedTimeout is that of a seed, which the others wait for.
+	// seedsSeedTimeout is seedTimeout for a host that is itself a seed: the others wait for it.
 	seedsSeedTimeout = 200 * time.Millisecond
-	// loadedSeedTimeout is that of a start while callers wait: a seed that is up
-	// answers in a few ms.
+	// loadedSeedTimeout is seedTimeout for a start while callers wait: a seed that is up answers
+	// within a few milliseconds.
 	loadedSeedTimeout = 15 * time.Millisecond
-	// busySeedTimeout is how long such a start goes on asking a seed that is up but
-	// has yet to read the store, which takes it 30 to 80 ms.
+	// busySeedTimeout is how long such a start keeps asking a seed that is up but has yet to
+	// read the store, which takes it 30 to 80 ms.
 	busySeedTimeout = 200 * time.Millisecond
-	// contacted is how many hosts of the list a start tells of itself.
-	contacted = 3
-	// seedBackoff is the time between the first two queries to a seed; it doubles up to
+	// contactedHosts is how many hosts of the list read from the store a starting host contacts.
+	contactedHosts = 3
+	// seedBackoff is the delay between the first two queries to a seed; it doubles up to
 	// maxSeedBackoff.
 	seedBackoff    = 20 * time.Millisecond
 	maxSeedBackoff = 300 * time.Millisecond
-	// seedStagger is how long a first start waits for one seed before it queries the
-	// next, too.
+	// seedStagger is how long a first start waits for one seed before it also queries the next.
 	seedStagger = 300 * time.Millisecond
-	// seedLead is how long a first start then lets the seeds watch before it does: their
-	// heartbeats have to wait behind the connections of hundreds of hosts.
-	seedLead = 1500 * time.Millisecond
+	// seedHeadStart is how long a first start then leaves watching to the seeds: their
+	// heartbeats queue behind the connections of hundreds of hosts.
+	seedHeadStart = 1500 * time.Millisecond
 )
 
-// bootstrap tells the seeds of this host and takes in what they know. If a seed is up
-// but knows nothing yet, as when all hosts start together, the seeds are the first
-// to watch: were every host to do so, the calls to the store would grow with the
-// number of hosts.
+// bootstrap announces this host to the seeds and merges the state that they return. If a seed is
+// up but has no state yet, as when all hosts start together, the seeds get to watch first: if
+// every host watched, the number of calls to the store would grow with the number of hosts.
 func (c *Controller) bootstrap(ctx context.Context) {
 	if c.deps.UnderLoad {
 		c.bootstrapUnderLoad(ctx)
@@ -61,11 +59,11 @@
 		c.readHosts(ctx)
 	}
 	c.mu.Lock()
-	c.decider.Defer(time.Now().Add(seedLead))
+	c.decider.Defer(time.Now().Add(seedHeadStart))
 	c.mu.Unlock()
 }
 
-// bootstrapUnderLoad is bootstrap while callers wait.
+// bootstrapUnderLoad is bootstrap for a start while callers are waiting.
 func (c *Controller) bootstrapUnderLoad(ctx context.Context) {
 	reached, fresh := c.querySeeds(ctx, loadedSeedTimeout, 0)
 	if !fresh && reached && !c.isSeed() {
@@ -83,47 +81,47 @@
 		c.readHosts(ctx)
 		return nil
 	})
-	_ = g.Wait() // neither returns an error; failures are logged there
+	_ = g.Wait() // neither returns an error; they log failures themselves
 }
 
-// isSeed reports whether other hosts start by asking this one.
+// isSeed reports whether this host is one of the seeds.
 func (c *Controller) isSeed() bool { return slices.Contains(c.deps.Seeds, c.deps.Self.Addr) }
 
-// readOnce reads all topics from the store, without watching it.
+// readOnce reads all topics from the store without watching it.
 //
-// Were the seeds asked for everything after all hosts lost power, none would serve before the first
-// seed had read the store. Two calls a host are the price of being ready at once. A seed that is up
-// is asked for longer instead: hosts that read at the same moment wait for each other.
+// When all hosts restart after a power loss, waiting for the seeds would keep every host from
+// serving until the first seed had read the store; two calls per host buy immediate readiness. A
+// seed that is up is queried for longer instead, because hosts that read the store at the same
+// moment queue behind each other.
 func (c *Controller) readOnce(ctx context.Context) {
 	var g errgroup.Group
 	for t := range directory.Topics {
 		g.Go(func() error {
 			asked := time.Now()
-			ch, err := c.ask(ctx, nil, t, 0, c.patience.allowance(asked))
+			ch, err := c.fetch(ctx, nil, t, 0, c.timeout.next(asked))
 			if err != nil {
 				c.count.failed.Add(1)
-				c.deps.Log.Warn("store not read at the start", zap.Stringer("topic", t), zap.Error(err))
+				c.deps.Log.Warn("failed to read the store at startup", zap.Stringer("topic", t), zap.Error(err))
 				return nil
 			}
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			if ch.Config != nil && ch.Config.Version >= c.version() {
-				c.confirm(asked) // a caller may come before this host watches
+				c.noteConfirmed(asked) // a caller may arrive before this host watches
 			}
 			c.merge(time.Now(), ch, c.self)
 			return nil
 		})
 	}
-	_ = g.Wait() // failures are logged above; the watch tries again
+	_ = g.Wait() // failures are logged above; the watch retries
 }
 
-// querySeeds queries the seeds for all they know, one after the other, stagger apart. It
-// reports whether any was reached, and whether one of them is up to date, which ends the
-// wait.
+// querySeeds fetches the state from the seeds, starting one query every stagger. It reports
+// whether any seed was reached, and whether one of them was up to date, which ends the wait.
 //
-// Hundreds of hosts that start together and query all seeds again and again would take the seeds'
-// processors, so that no answer gets out. Each host begins with a seed of its own choice, and
-// queries it ever less often.
+// Hundreds of hosts that start together and poll all seeds would saturate the seeds' CPUs, so
+// that no reply gets out. So each host starts with a random seed and polls with exponential
+// backoff.
 func (c *Controller) querySeeds(ctx context.Context, timeout, stagger time.Duration) (reached, fresh bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -141,14 +139,14 @@
 	for range seeds {
 		r := <-answers
 		reached = reached || r.reached
-		if r.fresh && (len(r.ask) == 0 || c.queryReferred(r.ask)) {
+		if r.fresh && (len(r.referrals) == 0 || c.queryReferrals(r.referrals)) {
 			return true, true
 		}
 	}
 	return reached, false
 }
 
-// otherSeeds returns the seeds but for this host, in an order of its own.
+// otherSeeds returns the seeds except this host, in random order.
 func (c *Controller) otherSeeds() []ports.HostID {
 	var seeds []ports.HostID
 	for _, addr := range c.deps.Seeds {
@@ -162,8 +160,8 @@
 	return seeds
 }
 
-// querySeed asks one seed until it is up to date. At a start of all hosts together
-// it may not listen yet, or know nothing.
+// querySeed polls one seed until it is up to date. When all hosts start together, the seed may
+// not be listening yet, or may have no state.
 func (c *Controller) querySeed(ctx context.Context, id ports.HostID) syncResult {
 	var last syncResult
 	pause := seedBackoff
@@ -180,16 +178,16 @@
 	}
 }
 
-// referStagger is how long a start waits for one host that a seed named before it asks the
-// next, too. The answer is the whole list of targets, over a slow link.
-const referStagger = 100 * time.Millisecond
+// referralStagger is how long a starting host waits for one referred host before it also asks
+// the next. The reply is the whole list of targets, possibly over a slow link.
+const referralStagger = 100 * time.Millisecond
 
-// queryReferred asks hosts that a seed named until one tells all it knows, and reports whether
-// one did. Some may be down, and are silent: the next is asked meanwhile.
-func (c *Controller) queryReferred(ids []ports.HostID) bool {
+// queryReferrals asks the hosts that a seed referred this one to until one returns its state,
+// and reports whether one did. Some may be down and never reply, so the next is asked meanwhile.
+func (c *Controller) queryReferrals(ids []ports.HostID) bool {
 	c.mu.Lock()
 	for _, id := range ids {
-		c.addHosts(directory.Host{Addr: string(id)})
+		c.mergeHosts(directory.Host{Addr: string(id)})
 	}
 	c.mu.Unlock()
 	answers := make(chan bool, len(ids))
@@ -198,8 +196,8 @@
 		if asked < len(ids) {
 			id := ids[asked]
 			asked, open = asked+1, open+1
-			go func() { answers <- c.syncWithin(id, checkTimeout).fresh }()
-			stagger = time.After(referStagger)
+			go func() { answers <- c.syncWithin(id, catchUpTimeout).fresh }()
+			stagger = time.After(referralStagger)
 		}
 		select {
 		case fresh := <-answers:
@@ -213,8 +211,7 @@
 	return false
 }
 
-// readHosts learns the other hosts from the store, for a start whose seeds are all
-// stale.
+// readHosts reads the list of hosts from the store, for a start whose seeds are all stale.
 func (c *Controller) readHosts(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
@@ -222,18 +219,18 @@
 	hosts, err := c.deps.Source.Hosts(ctx)
 	if err != nil {
 		c.count.failed.Add(1)
-		c.deps.Log.Warn("list of hosts not read", zap.Error(err))
+		c.deps.Log.Warn("failed to read the list of hosts", zap.Error(err))
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.addHosts(hosts...)
-	// A few of them are told of this one; what they know spreads by heartbeats. Hosts that
-	// start together and ask all others for all they know fill the links.
+	c.mergeHosts(hosts...)
+	// Contact only a few of them; heartbeats spread what they learn. If every starting host
+	// asked all others for their state, the links would be saturated.
 	c.rng.Shuffle(len(hosts), func(i, j int) { hosts[i], hosts[j] = hosts[j], hosts[i] })
-	for _, h := range hosts[:min(len(hosts), contacted)] {
+	for _, h := range hosts[:min(len(hosts), contactedHosts)] {
 		if h.ID() != c.self {
-			c.tellHosts(h.ID())
+			c.exchangeHostsWith(h.ID())
 		}
 	}
 }
--- a/controller/watch/bootstrap_test.go
+++ b/controller/watch/bootstrap_test.go
@@ -12,15 +12,15 @@
 
 const startingHosts = 472
 
-// What messages take of the processor of the smallest hosts, 0.16 cores.
+// CPU time that a message takes on the smallest hosts, which have 0.16 cores.
 const (
-	handling = 500 * time.Microsecond
-	// connecting is for the first one between two hosts, which opens a connection.
-	connecting = 2500 * time.Microsecond
+	messageCost = 500 * time.Microsecond
+	// connectCost is added for the first message between two hosts, which opens a connection.
+	connectCost = 2500 * time.Microsecond
 )
 
-// slowProcessors has messages to a host wait for each other until it has handled them.
-func slowProcessors(fl *fleet) {
+// limitCPU makes messages to a host queue until it has handled those before them.
+func limitCPU(fl *fleet) {
 	var mu sync.Mutex
 	free := make(map[ports.HostID]time.Time)
 	connected := make(map[[2]ports.HostID]bool)
@@ -33,37 +33,37 @@
 		if free[to].After(begin) {
 			begin = free[to]
 		}
-		cost := handling
+		cost := messageCost
 		if !connected[[2]ports.HostID{from, to}] {
 			connected[[2]ports.HostID{from, to}] = true
 			connected[[2]ports.HostID{to, from}] = true
-			cost += connecting
+			cost += connectCost
 		}
 		free[to] = begin.Add(cost)
 		return free[to].Sub(now)
 	}
 }
 
-// Callers pay for hundreds of hosts that start together: each asks the three seeds every
-// 20 ms, the seeds fall behind, and whoever has no answer in time reads the store by
-// itself and then tries to watch it, since no heartbeat gets through either.
+// Guards against a call to the store per host when hundreds start together: each polls the three
+// seeds every 20 ms, the seeds fall behind, and a host without a timely reply reads the store
+// itself and then tries to watch it, since no heartbeat gets through either. Calls are paid for.
 func TestFirstStartOfManyHostsTakesFewCalls(t *testing.T) {
-	withNetwork(t, startingHosts, slowProcessors, func(fl *fleet) {
+	withNetwork(t, startingHosts, limitCPU, func(fl *fleet) {
 		calls := fl.record.Calls()
-		t.Logf("%d calls, %d messages, %d watch", calls, fl.messages.Load(), len(fl.watching()))
-		took := fl.await(nil, func(h *host) bool { return h.version() == 1 && h.takes(0) })
+		t.Logf("%d calls, %d messages, %d watchers", calls, fl.messages.Load(), len(fl.watching()))
+		took := fl.await(nil, func(h *host) bool { return h.version() == 1 && h.routesTo(0) })
 		assert.Check(t, took == 0, "known by all %s later", took)
 		assert.Check(t, calls < startingHosts/2, "%d calls", calls)
 	})
 }
 
-// The settings of a host name no others, as on a deployment of one. There is nobody to
-// leave the store to, and callers must not wait for it.
+// Guards against callers waiting for seeds that do not exist: in a deployment of one host the
+// settings name no others, and it has to read the store itself.
 func TestFirstStartWithoutSeedsReadsTheStoreAtOnce(t *testing.T) {
 	withFleet(t, 0, func(fl *fleet) {
 		fl.seeds = nil
 		fl.start(0, false)
-		took := fl.await(nil, func(h *host) bool { return h.takes(0) })
+		took := fl.await(nil, func(h *host) bool { return h.routesTo(0) })
 		assert.Check(t, took < 200*time.Millisecond, "known after %s", took)
 	})
 }
--- a/controller/watch/confirm.go
+++ b/controller/watch/confirm.go
@@ -15,42 +15,43 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// confirmTimeout bounds what a caller waits until hosts that watch the store have said whether
-// the configuration at hand is the newest: a round trip takes 1 to 3 ms inside a region.
+// confirmTimeout bounds how long a caller waits for the watchers to say whether the current
+// configuration is the newest: a round trip takes 1 to 3 ms within a region.
 const confirmTimeout = 100 * time.Millisecond
 
-// timerShare is the part of a wait, one in so many, by which the store's timer and this host's
-// may differ: far more than timers do, and 45 ms of a wait of 0.9 s.
-const timerShare = 20
+// timerSkewDivisor bounds the difference between the store's timer and this host's as a fraction
+// of a wait, 1/timerSkewDivisor. That is far more than timers differ, and 45 ms of a wait of 0.9
+// s.
+const timerSkewDivisor = 20
 
-// hear takes in that some host told of a version of the configuration.
-func (c *Controller) hear(version uint64) {
+// noteVersion records that some host has a version of the configuration.
+func (c *Controller) noteVersion(version uint64) {
 	c.deps.Board.Confirmation.Update(func(old blackboard.Confirmation) (blackboard.Confirmation, bool) {
-		heard := version > old.Newest
+		newer := version > old.Newest
 		old.Newest = max(old.Newest, version)
-		return old, heard
+		return old, newer
 	})
 }
 
-// certainAt returns when what an answer of the store says was certainly so. An answer without
-// any change was made when the wait was over, but for what the two timers may differ; for any
-// other the moment of asking counts.
+// validAt returns a time at which the content of a store answer was certainly current. An answer
+// without changes was made when its wait ended, give or take the difference between the two
+// timers; any other answer is dated by when it was requested.
 //
-// What was so at the moment of asking is known whatever the answer met on its way; dated by its
-// arrival, a late one would have hosts deny routes that were added meanwhile.
-func certainAt(asked, now time.Time, ch directory.Changes) time.Time {
-	held := ch.Waited - ch.Waited/timerShare
+// What was true at the time of the request holds however long the answer takes. Dated by its
+// arrival, a delayed answer would make hosts deny routes that were added in the meantime.
+func validAt(asked, now time.Time, ch directory.Changes) time.Time {
+	held := ch.Waited - ch.Waited/timerSkewDivisor
 	if now.Sub(asked) < held {
 		return asked
 	}
 	return asked.Add(held)
 }
 
-// noteConfig takes in when an answer on the configuration was certainly so. One that holds
-// another configuration than the one at hand confirms nothing: it was refused here, or the
-// answer is a stale one. Neither do answers after it that tell of no change, until one holds
-// the configuration at hand. The lock is held.
-func (c *Controller) noteConfig(w *watching, ch directory.Changes, at time.Time) {
+// noteConfig records when a store answer on the configuration was certainly current. An answer
+// with a configuration other than the current one confirms nothing: either this host rejected
+// that configuration or the answer is stale. Nor do later answers without changes, until one
+// carries the current configuration. c.mu must be held.
+func (c *Controller) noteConfig(w *storeWatch, ch directory.Changes, at time.Time) {
 	other := ch.ConfigUnread || ch.Config != nil && ch.Config.Version != c.version()
 	switch {
 	case other:
@@ -60,13 +61,13 @@
 	}
 }
 
-// Confirm finds out whether the configuration at hand is the newest, and puts what it learns on
-// the board. It returns once it knows, at the latest after confirmTimeout, or when ctx ends.
+// Confirm finds out whether the current configuration is the newest and publishes what it learns
+// on the board. It returns once that is known, after confirmTimeout, or when ctx ends.
 //
-// Heartbeats would tell without asking, but not how long they were on their way: on a link that
-// was full they had hosts deny routes that were added 3 s before.
+// Heartbeats carry the same information without a request, but not how long they were in
+// transit: over a saturated link they made hosts deny routes that had been added 3 s before.
 func (c *Controller) Confirm(ctx context.Context) {
-	done := c.asking.DoChan("", func() (any, error) {
+	done := c.confirmGroup.DoChan("", func() (any, error) {
 		c.askWatchers()
 		return nil, nil
 	})
@@ -76,17 +77,17 @@
 	}
 }
 
-// askWatchers asks the hosts that watch, this one first, until one has had word from the store
-// that is young.
+// askWatchers asks the watchers, this host first, until one has a recent enough confirmation
+// from the store.
 func (c *Controller) askWatchers() {
 	ctx, cancel := context.WithTimeout(context.Background(), confirmTimeout)
 	defer cancel()
 	now := time.Now()
 	c.mu.Lock()
-	reply := c.howNew(now)
-	ids := watchers.Fresh(now, c.beats)
+	reply := c.configFreshness(now)
+	ids := watchers.Fresh(now, c.heartbeats)
 	c.mu.Unlock()
-	if c.confirmed(now, reply) {
+	if c.applyConfirmation(now, reply) {
 		return
 	}
 	answers := make(chan bool, len(ids))
@@ -100,41 +101,42 @@
 	}
 }
 
-// askWatcher asks one host, and reports whether its word is young. What it says was so
-// by its age before the moment of asking, whatever the question and the reply met on their way.
+// askWatcher asks one watcher and reports whether its confirmation is recent enough. The age in
+// the reply counts back from the time of the request, so delays in transit do not matter.
 func (c *Controller) askWatcher(ctx context.Context, id ports.HostID) bool {
 	asked := time.Now()
 	reply, err := peer.Call[confirmReply](ctx, c.deps.Link, id, kindConfirm, confirmRequest{})
 	if err != nil {
-		c.deps.Log.Debug("peer did not tell how new its configuration is", zap.String("peer", string(id)), zap.Error(err))
+		c.deps.Log.Debug("failed to ask peer for its confirmation of the configuration", zap.String("peer", string(id)), zap.Error(err))
 		return false
 	}
-	return c.confirmed(asked, reply)
+	return c.applyConfirmation(asked, reply)
 }
 
-// confirmed takes in how new the configuration of a host was at a moment, and reports whether
-// nobody else needs to be asked.
+// applyConfirmation records a host's reply about its configuration as of a time, and reports
+// whether no other host needs to be asked.
 //
-// A word that is about to be too old does not end the asking: it would be too old when the answer is
-// written.
-func (c *Controller) confirmed(at time.Time, r confirmReply) bool {
-	c.hear(r.Version)
+// A confirmation that is about to become too old does not end the search: it would be too old by
+// the time the response is written.
+func (c *Controller) applyConfirmation(at time.Time, r confirmReply) bool {
+	c.noteVersion(r.Version)
 	if !r.Known {
 		return false
 	}
-	c.confirm(at.Add(-r.Age))
+	c.noteConfirmed(at.Add(-r.Age))
 	return instant.Elapsed(at.Add(-r.Age), time.Now()) <= denial.Young
 }
 
-// onConfirm tells another host how new this one's configuration is.
+// onConfirm replies with how recently this host's configuration was confirmed.
 func (c *Controller) onConfirm(context.Context, ports.HostID, confirmRequest) (confirmReply, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.howNew(time.Now()), nil
+	return c.configFreshness(time.Now()), nil
 }
 
-// howNew returns how new this host's configuration is. The lock is held.
-func (c *Controller) howNew(now time.Time) confirmReply {
+// configFreshness returns this host's version of the configuration and when the store last
+// confirmed it. c.mu must be held.
+func (c *Controller) configFreshness(now time.Time) confirmReply {
 	r := confirmReply{Version: c.version()}
 	if c.watch != nil && !c.watch.configAt.IsZero() {
 		r.Known, r.Age = true, instant.Elapsed(c.watch.configAt, now)
@@ -142,9 +144,9 @@
 	return r
 }
 
-// confirm takes in that at a moment the store had no configuration newer than the newest that
+// noteConfirmed records that at a time the store had no configuration newer than the newest one
 // this host has heard of.
-func (c *Controller) confirm(at time.Time) {
+func (c *Controller) noteConfirmed(at time.Time) {
 	c.deps.Board.Confirmation.Update(func(old blackboard.Confirmation) (blackboard.Confirmation, bool) {
 		if !at.After(old.At) {
 			return old, false
@@ -154,17 +156,17 @@
 	})
 }
 
-// logBehind tells that this host lacks something that another one has, and asks for it.
-func (c *Controller) logBehind(heardFrom ports.HostID) {
-	heard := c.deps.Board.Confirmation.Load()
+// logBehind logs that this host lacks a change that another host has.
+func (c *Controller) logBehind(from ports.HostID) {
+	confirmation := c.deps.Board.Confirmation.Load()
 	c.mu.Lock()
 	version, revision := c.version(), c.state.Newest()
 	c.mu.Unlock()
-	c.deps.Log.Info("behind, asking others", zap.Uint64("version", version), zap.Uint64("newest", heard.Newest),
-		zap.Stringer("revision", revision), zap.String("from", string(heardFrom)))
+	c.deps.Log.Info("behind, asking others", zap.Uint64("version", version), zap.Uint64("newest", confirmation.Newest),
+		zap.Stringer("revision", revision), zap.String("from", string(from)))
 }
 
-// confirmationMetrics is what operators see of how new the configuration at hand is.
+// confirmationMetrics shows operators how recently the current configuration was confirmed.
 type confirmationMetrics struct {
 	Version uint64 `json:"version"`
 	Newest  uint64 `json:"newest"`
@@ -173,13 +175,13 @@
 }
 
 func (c *Controller) confirmationMetrics() any {
-	heard := c.deps.Board.Confirmation.Load()
-	m := confirmationMetrics{Newest: heard.Newest, ConfirmedMS: -1}
+	confirmation := c.deps.Board.Confirmation.Load()
+	m := confirmationMetrics{Newest: confirmation.Newest, ConfirmedMS: -1}
 	if table := c.deps.Board.Routes.Load(); table != nil {
 		m.Version = table.Config.Version
 	}
-	if !heard.At.IsZero() {
-		m.ConfirmedMS = instant.Elapsed(heard.At, time.Now()).Milliseconds()
+	if !confirmation.At.IsZero() {
+		m.ConfirmedMS = instant.Elapsed(confirmation.At, time.Now()).Milliseconds()
 	}
 	return m
 }
--- a/controller/watch/confirm_test.go
+++ b/controller/watch/confirm_test.go
@@ -11,7 +11,7 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-func TestAnswersAreDatedByWhenTheyWereCertainlySo(t *testing.T) {
+func TestAnswersAreDatedByWhenTheyWereCertainlyValid(t *testing.T) {
 	asked := time.Now()
 	after := func(d time.Duration) time.Time { return asked.Add(d) }
 	quiet := directory.Changes{Waited: time.Second}
@@ -20,21 +20,21 @@
 		ch   directory.Changes
 		want time.Time
 	}{
-		"news, at once":               {after(5 * time.Millisecond), directory.Changes{Config: config(1)}, asked},
-		"news, late on its way":       {after(3 * time.Second), directory.Changes{Config: config(1)}, asked},
-		"rows of no interest":         {after(3 * time.Second), directory.Changes{}, asked},
-		"no change for the wait":      {after(1005 * time.Millisecond), quiet, after(950 * time.Millisecond)},
-		"no change, late on its way":  {after(3 * time.Second), quiet, after(950 * time.Millisecond)},
-		"no change, before its wait":  {after(300 * time.Millisecond), quiet, asked},
-		"no change, a little earlier": {after(990 * time.Millisecond), quiet, after(950 * time.Millisecond)},
+		"changes, at once":                 {after(5 * time.Millisecond), directory.Changes{Config: config(1)}, asked},
+		"changes, delayed":                 {after(3 * time.Second), directory.Changes{Config: config(1)}, asked},
+		"no relevant rows":                 {after(3 * time.Second), directory.Changes{}, asked},
+		"no change during the wait":        {after(1005 * time.Millisecond), quiet, after(950 * time.Millisecond)},
+		"no change, delayed":               {after(3 * time.Second), quiet, after(950 * time.Millisecond)},
+		"no change, before the wait ended": {after(300 * time.Millisecond), quiet, asked},
+		"no change, slightly early":        {after(990 * time.Millisecond), quiet, after(950 * time.Millisecond)},
 	} {
-		assert.Equal(t, certainAt(asked, tc.now, tc.ch), tc.want, name)
+		assert.Equal(t, validAt(asked, tc.now, tc.ch), tc.want, name)
 	}
 }
 
-// A watcher's word counts from an answer that holds the configuration at hand, and not while
-// the last that held one held another: one that was refused, or one from before, of a store
-// whose reading is stale.
+// Guards against confirming a configuration by an answer that carried another one: one that this
+// host rejected, or an older one from a stale read of the store. Later answers without changes
+// must not confirm it either, until one carries the current configuration.
 func TestOnlyTheConfigurationAtHandIsConfirmed(t *testing.T) {
 	withFleet(t, 3, func(fl *fleet) {
 		fl.record.Configure(config(5))
@@ -48,14 +48,14 @@
 			confirmed bool
 		}{
 			"nothing read":             {[]directory.Changes{{}}, false},
-			"the one at hand":          {[]directory.Changes{{Config: config(5)}}, true},
+			"the current one":          {[]directory.Changes{{Config: config(5)}}, true},
 			"no change after it":       {[]directory.Changes{{Config: config(5)}, {}}, true},
-			"a stale reading":          {[]directory.Changes{{Config: config(5)}, {Config: config(4)}, {}}, false},
-			"a newer one, refused":     {[]directory.Changes{{Config: config(5)}, {Config: config(6)}, {}}, false},
-			"one that is not read":     {[]directory.Changes{{Config: config(5)}, {ConfigUnread: true}, {}}, false},
-			"the one at hand, at last": {[]directory.Changes{{ConfigUnread: true}, {Config: config(5)}}, true},
+			"a stale read":             {[]directory.Changes{{Config: config(5)}, {Config: config(4)}, {}}, false},
+			"a newer one, rejected":    {[]directory.Changes{{Config: config(5)}, {Config: config(6)}, {}}, false},
+			"an unreadable one":        {[]directory.Changes{{Config: config(5)}, {ConfigUnread: true}, {}}, false},
+			"the current one, at last": {[]directory.Changes{{ConfigUnread: true}, {Config: config(5)}}, true},
 		} {
-			w := new(watching)
+			w := new(storeWatch)
 			for _, ch := range tc.answers {
 				c.noteConfig(w, ch, at)
 			}
@@ -64,8 +64,9 @@
 	})
 }
 
-// Whatever tells of a newer version keeps a host from denying by its own: a change that it can
-// not apply, for it lacks what the change begins at, and a host that asks for what it missed.
+// Guards against denying requests by an old configuration although a newer version was
+// mentioned, be it by a delta that can not be applied for lack of its base, or by a host that
+// asks for state.
 func TestHostHearsOfNewerVersionsWhereverTheyAreTold(t *testing.T) {
 	withFleet(t, 3, func(fl *fleet) {
 		h := fl.hosts[0]
--- a/controller/watch/counters.go
+++ b/controller/watch/counters.go
@@ -6,36 +6,37 @@
 	"github.com/cactusproxy/cactusproxy/metrics"
 )
 
-// counters are those of the metrics map "watch".
+// counters are the metrics of the map "watch".
 type counters struct {
-	calls, failed, beats, steps, syncs, dropped, takeovers *expvar.Int
-	// repeats counts large changes that were not passed on since they brought nothing new.
-	repeats *expvar.Int
-	// lateWords counts words of earlier runs of targets that were held back.
-	lateWords *expvar.Int
-	// refusedConfigs counts configurations that other hosts told and that were not taken in.
+	calls, failed, heartbeats, changes, syncs, dropped, takeovers *expvar.Int
+	// duplicateRelays counts large changes that were not forwarded because they contained
+	// nothing new.
+	duplicateRelays *expvar.Int
+	// staleEntries counts entries from earlier incarnations of targets that were held back.
+	staleEntries *expvar.Int
+	// refusedConfigs counts configurations received from other hosts that were rejected.
 	refusedConfigs *expvar.Int
-	// copies counts how often the record came back from an older copy.
-	copies *expvar.Int
-	// linesDropped counts lines about targets that were left out to bound the volume.
+	// restores counts how often the store was restored from an older copy.
+	restores *expvar.Int
+	// linesDropped counts log lines about targets that the rate limit suppressed.
 	linesDropped *expvar.Int
 }
 
 func newCounters(m *metrics.Set) counters {
 	c := m.Counters("watch")
 	return counters{
-		calls:     c("store_calls"),
-		failed:    c("store_calls_failed"),
-		beats:     c("beats_received"),
-		steps:     c("changes_received"),
-		syncs:     c("syncs"),
-		dropped:   c("notifications_dropped"),
-		takeovers: c("takeovers"),
-		repeats:   c("repeats_not_passed_on"),
-		lateWords: c("late_words"),
+		calls:           c("store_calls"),
+		failed:          c("store_calls_failed"),
+		heartbeats:      c("beats_received"),
+		changes:         c("changes_received"),
+		syncs:           c("syncs"),
+		dropped:         c("notifications_dropped"),
+		takeovers:       c("takeovers"),
+		duplicateRelays: c("repeats_not_passed_on"),
+		staleEntries:    c("late_words"),
 
 		refusedConfigs: c("configs_refused"),
-		copies:         c("older_copies"),
+		restores:       c("older_copies"),
 		linesDropped:   c("target_lines_dropped"),
 	}
 }
--- a/controller/watch/denial_test.go
+++ b/controller/watch/denial_test.go
@@ -22,21 +22,21 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// full is a Dispatcher whose targets have no room: a caller whose request has a route is
-// told 503.
-type full struct{}
+// noCapacity is a Dispatcher without capacity on any target: a request that has a route is
+// answered with 503.
+type noCapacity struct{}
 
-func (full) Admit(*dispatch.Call) (func(), outcome.Result) { return func() {}, outcome.Result{} }
+func (noCapacity) Admit(*dispatch.Call) (func(), outcome.Result) { return func() {}, outcome.Result{} }
 
-func (full) Do(context.Context, *dispatch.Call) *dispatch.Reply {
+func (noCapacity) Do(context.Context, *dispatch.Call) *dispatch.Reply {
 	return &dispatch.Reply{Result: outcome.Refuse(outcome.ReasonNoTarget)}
 }
 
-// newCallers returns the handler of a host's callers.
+// newCallers returns the HTTP handler for a host's callers.
 func newCallers(board *blackboard.Board, c entry.Confirmer) http.Handler {
 	return entry.New(entry.Deps{
 		Board:      board,
-		Dispatcher: full{},
+		Dispatcher: noCapacity{},
 		Metrics:    metrics.New(),
 		Fresh:      func() bool { return true },
 		Contract:   &targetapi.Contract{},
@@ -44,7 +44,7 @@
 	}).Calls()
 }
 
-// denies reports whether a caller of a path is told that there is no such route.
+// denies reports whether the host answers a request for a path with 404.
 func (h *host) denies(path string) bool {
 	r := httptest.NewRequest(http.MethodGet, path, nil)
 	r.Host = callersHost
@@ -53,12 +53,12 @@
 	return w.Code == http.StatusNotFound
 }
 
-// denials counts, once the bound has passed since a change was accepted, how often callers of
-// the route that it added are told by a host that there is none.
+// denials counts how many of 100 requests for the route added by a version the host answers with
+// 404, starting once the bound has passed since the version was accepted.
 func (h *host) denials(version uint64) (n int) {
 	time.Sleep(bound)
 	for range 100 {
-		if h.denies(added(version)) {
+		if h.denies(addedPrefix(version)) {
 			n++
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -66,58 +66,55 @@
 	return n
 }
 
-// crawlingLink is the rate of a link in bytes a second on which heartbeats alone, some 2 kB a
-// second, wait for longer and longer.
-const crawlingLink = 100
+// congestedLink is the rate in bytes per second of a link on which even the heartbeats, some 2
+// kB per second, queue for longer and longer.
+const congestedLink = 100
 
-// Callers of a route that was added seconds ago are told 404, which no caller repeats. A
-// host's link is full: heartbeats and the change wait behind each other, later and later. The
-// host finds no route in the table that it has, and answers as if that were the newest one.
-//
-// Seen with 302 hosts on links of 10 Mbit/s: 2.5 s after version 5 was accepted hosts still
-// went by version 2, and 20 requests were answered so.
+// Guards against answering 404 for a route that was added seconds ago; callers do not retry a
+// 404. The host's link is saturated, so heartbeats and the change queue behind each other. The
+// host finds no route in its table and must not treat that table as the newest. With links of 10
+// Mbit/s, hosts still used version 2 when version 5 had been accepted 2.5 s before.
 func TestHostOnAFullLinkDeniesNothingThatWasAdded(t *testing.T) {
 	var slow atomic.Pointer[host]
 	setUp := func(fl *fleet) {
 		fl.net.Rate = func(id ports.HostID) float64 {
 			if h := slow.Load(); h != nil && h.addr == string(id) {
-				return crawlingLink
+				return congestedLink
 			}
 			return slowLink
 		}
 	}
 	withNetwork(t, 14, setUp, func(fl *fleet) {
-		h := fl.idle()
+		h := fl.nonWatcher()
 		slow.Store(h)
 		h.client.Set(record.Silent)
 		time.Sleep(time.Second)
 		fl.record.Configure(config(2))
 		assert.Check(t, h.denials(2) == 0)
-		assert.Check(t, h.version() == 1, "the host is no longer behind, and the test shows nothing")
+		assert.Check(t, h.version() == 1, "the host is no longer behind, so the test proves nothing")
 		slow.Store(nil)
-		time.Sleep(10 * time.Minute) // the link carries what waits
+		time.Sleep(10 * time.Minute) // the link drains its queue
 	})
 }
 
-// Every message of a change is lost on its way to one host, and so is all that it asks for
-// after that. It hears from heartbeats that there is a newer version, and that its table is
-// not the one to deny anything by.
+// Guards against denying by a table known to be old: every message of a change to one host is
+// lost, and so are its own requests, but heartbeats tell it that there is a newer version.
 func TestHostThatHeardOfANewerVersionDeniesNothing(t *testing.T) {
 	var behind atomic.Pointer[host]
 	setUp := func(fl *fleet) {
 		fl.net.Lost = func(from, to peer.HostID, kind peer.Kind) bool {
 			h := behind.Load()
-			return h != nil && kind != kindBeat && (h.addr == string(to) || h.addr == string(from))
+			return h != nil && kind != kindHeartbeat && (h.addr == string(to) || h.addr == string(from))
 		}
 	}
 	withNetwork(t, 14, setUp, func(fl *fleet) {
-		h := fl.idle()
+		h := fl.nonWatcher()
 		behind.Store(h)
 		fl.record.Configure(config(2))
 		time.Sleep(300 * time.Millisecond)
-		assert.Check(t, !h.denies(added(2)), "told by a heartbeat")
+		assert.Check(t, !h.denies(addedPrefix(2)), "denied although a heartbeat named a newer version")
 		assert.Check(t, h.denials(2) == 0)
-		assert.Check(t, h.version() == 1, "the host is no longer behind, and the test shows nothing")
+		assert.Check(t, h.version() == 1, "the host is no longer behind, so the test proves nothing")
 	})
 }
 
@@ -125,31 +122,31 @@
 func TestHostThatIsCutOffDeniesNothingThatWasAdded(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		cut := fl.hosts[4]
-		fl.freeze(cut)
+		fl.isolate(cut)
 		fl.record.Configure(config(2))
 		assert.Check(t, cut.denials(2) == 0)
 	})
 }
 
-// All hosts hear that the store serves the watchers, and callers of paths that no
-// configuration has are told so at once: 503 would have them come again in vain.
+// Guards against answering 503 for paths that never existed, which makes callers retry in vain:
+// all hosts hear that the store serves the watchers, and can answer 404 at once.
 func TestRouteThatNeverWasIsDenied(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
-		told := 0
+		denied := 0
 		for range 300 {
 			for _, h := range fl.hosts {
 				if h.denies("/never/") {
-					told++
+					denied++
 				}
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.Equal(t, told, 300*len(fl.hosts))
+		assert.Equal(t, denied, 300*len(fl.hosts))
 	})
 }
 
-// A host that starts has just read the configuration by itself, and does not watch yet. A caller of
-// a path that never was is told so from the first moment.
+// A starting host has just read the configuration itself and does not watch yet. It must answer
+// 404 for paths that never existed from the first moment.
 func TestHostThatHasJustReadTheStoreDenies(t *testing.T) {
 	withFleet(t, 3, func(fl *fleet) {
 		for _, h := range fl.hosts {
@@ -164,20 +161,20 @@
 	})
 }
 
-// A word that is about to be too old comes first, and a younger one a moment later. The caller
-// waits for that one: by the first it would be told 503 when the answer is written.
-func TestWordThatIsNearlyTooOldDoesNotEndTheAsking(t *testing.T) {
+// Guards against ending the search at a confirmation that is about to become too old while a
+// younger one arrives a moment later: the caller would get a 503 when the response is written.
+func TestConfirmationThatIsNearlyTooOldDoesNotEndTheSearch(t *testing.T) {
 	withFleet(t, 3, func(fl *fleet) {
-		c := fl.idle().c
+		c := fl.nonWatcher().c
 		now := time.Now()
-		assert.Check(t, !c.confirmed(now, confirmReply{Version: 1, Known: true, Age: denial.MaxAge - time.Millisecond}))
-		assert.Check(t, !c.confirmed(now.Add(-100*time.Millisecond), confirmReply{Version: 1, Known: true, Age: denial.Young - 50*time.Millisecond}))
-		assert.Check(t, c.confirmed(now, confirmReply{Version: 1, Known: true, Age: time.Second}))
+		assert.Check(t, !c.applyConfirmation(now, confirmReply{Version: 1, Known: true, Age: denial.MaxAge - time.Millisecond}))
+		assert.Check(t, !c.applyConfirmation(now.Add(-100*time.Millisecond), confirmReply{Version: 1, Known: true, Age: denial.Young - 50*time.Millisecond}))
+		assert.Check(t, c.applyConfirmation(now, confirmReply{Version: 1, Known: true, Age: time.Second}))
 	})
 }
 
-// idle returns a host that does not watch.
-func (fl *fleet) idle() *host {
+// nonWatcher returns a host that does not watch the store.
+func (fl *fleet) nonWatcher() *host {
 	for _, h := range fl.hosts {
 		if !h.watches() {
 			return h
@@ -186,11 +183,11 @@
 	return nil
 }
 
-// The operator has a configuration accepted that this program can not read, as it may with a
-// format that is newer than the program. The old one stays in force; the store goes on
-// answering, but its word that nothing has changed since is no word that the old one is the
-// newest. Once there is one that can be read again, unknown paths are denied as ever.
-func TestUnreadConfigurationLeavesNothingToDenyBy(t *testing.T) {
+// Guards against denying by the old configuration after one was accepted that this program can
+// not read, as with a newer format. The old one stays in force, and the store keeps answering
+// that nothing has changed, which does not confirm the old one. Once a readable configuration
+// follows, unknown paths are denied again.
+func TestUnreadableConfigurationStopsDenials(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		fl.record.ConfigureUnread()
 		for _, h := range fl.hosts {
@@ -202,8 +199,8 @@
 	})
 }
 
-// A link has been full for over a minute, with the same wait of 3 s all the time: no heartbeat
-// in memory was any faster, and none must be taken for punctual.
+// Guards against taking heartbeats for timely because none was ever faster: the link has been
+// saturated for over a minute, with a constant delay of 3 s.
 func TestHostOnALinkThatIsFullForLongDeniesNothingThatWasAdded(t *testing.T) {
 	const wait = 3 * time.Second
 	var slow atomic.Pointer[host]
@@ -216,7 +213,7 @@
 		}
 	}
 	withNetwork(t, 14, setUp, func(fl *fleet) {
-		h := fl.idle()
+		h := fl.nonWatcher()
 		h.client.Set(record.Silent)
 		slow.Store(h)
 		time.Sleep(70 * time.Second)
@@ -224,7 +221,7 @@
 		time.Sleep(bound)
 		denied := 0
 		for end := time.Now().Add(wait - bound); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-			if h.denies(added(2)) {
+			if h.denies(addedPrefix(2)) {
 				denied++
 			}
 		}
@@ -232,9 +229,9 @@
 	})
 }
 
-// Answers of the store are long on their way to the hosts that watch it. What one says held
-// when the store made it, or when it was asked for, and not when it came: a host that reckons
-// from its arrival denies routes that were added before that.
+// Guards against dating a store answer by its arrival: answers take long to reach the watchers,
+// and what one says was true when the store made it or when it was requested. Hosts would deny
+// routes that were added in between.
 func TestAnswerThatWasLongOnItsWayIsOld(t *testing.T) {
 	for _, lag := range []time.Duration{500 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
 		denied := 0
@@ -246,14 +243,14 @@
 				time.Sleep(bound)
 				for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 					for _, h := range fl.hosts {
-						if h.denies(added(v)) {
+						if h.denies(addedPrefix(v)) {
 							denied++
 						}
 					}
 				}
-				time.Sleep(time.Duration(v) * 173 * time.Millisecond) // another moment of the watches
+				time.Sleep(time.Duration(v) * 173 * time.Millisecond) // vary the phase of the watches
 			}
 		})
-		assert.Check(t, denied == 0, "answers %s on their way: %d denied", lag, denied)
+		assert.Check(t, denied == 0, "answers delayed by %s: %d denied", lag, denied)
 	}
 }
--- a/controller/watch/evacuation_test.go
+++ b/controller/watch/evacuation_test.go
@@ -11,22 +11,22 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Times in which an order has to be known: by half of the hosts, and by all.
+// Time within which an evacuation must be known by half of the hosts, and by all.
 const (
-	evacuatedHalf = 500 * time.Millisecond
-	evacuatedAll  = 1500 * time.Millisecond
+	evacuatedByHalf = 500 * time.Millisecond
+	evacuatedByAll  = 1500 * time.Millisecond
 )
 
-// evacuates reports whether the host sends nothing to a zone: by its order, and by each of the
-// zone's targets.
+// evacuates reports whether the host has evacuated a zone, and false if any target of the zone
+// is marked otherwise.
 func (h *host) evacuates(zone string) bool {
-	_, ordered := h.board.Evacuations.Load().Zones[zone]
+	_, evacuated := h.board.Evacuations.Load().Zones[zone]
 	for _, t := range h.board.Targets.Load().ByService[key] {
-		if t.Zone == zone && t.Evacuated != ordered {
+		if t.Zone == zone && t.Evacuated != evacuated {
 			return false
 		}
 	}
-	return ordered
+	return evacuated
 }
 
 // listInZones lists targets in all zones.
@@ -39,14 +39,14 @@
 	time.Sleep(time.Second)
 }
 
-// knownAfter returns how long it takes until half of the hosts, and all but some, satisfy a
-// condition.
-func (fl *fleet) knownAfter(but []*host, ok func(h *host) bool) (half, all time.Duration) {
+// timeUntil returns how long it takes until half of the hosts, and all of them, satisfy a
+// condition. Hosts in except count as satisfying it.
+func (fl *fleet) timeUntil(except []*host, ok func(h *host) bool) (half, all time.Duration) {
 	start := time.Now()
 	for time.Since(start) < time.Minute {
 		n := 0
 		for _, h := range fl.hosts {
-			if contains(but, h) || ok(h) {
+			if contains(except, h) || ok(h) {
 				n++
 			}
 		}
@@ -61,40 +61,40 @@
 	return half, time.Since(start)
 }
 
-func (fl *fleet) checkKnown(but []*host, zone string, want bool) {
+func (fl *fleet) checkEvacuation(except []*host, zone string, want bool) {
 	fl.t.Helper()
-	half, all := fl.knownAfter(but, func(h *host) bool { return h.evacuates(zone) == want })
-	assert.Check(fl.t, half < evacuatedHalf, "%s evacuated, %t: half knew after %s", zone, want, half)
-	assert.Check(fl.t, all < evacuatedAll, "%s evacuated, %t: all knew after %s", zone, want, all)
+	half, all := fl.timeUntil(except, func(h *host) bool { return h.evacuates(zone) == want })
+	assert.Check(fl.t, half < evacuatedByHalf, "%s evacuated, %t: half knew after %s", zone, want, half)
+	assert.Check(fl.t, all < evacuatedByAll, "%s evacuated, %t: all knew after %s", zone, want, all)
 }
 
-// An operator evacuates a zone and takes it back, then two zones whose orders overlap, one
-// given twice, and one that no host has heard of.
-func TestOrdersReachAllHosts(t *testing.T) {
+// A zone is evacuated and the evacuation lifted; then two evacuations overlap, one is ordered
+// twice, and one is of a zone that no host knows.
+func TestEvacuationsReachAllHosts(t *testing.T) {
 	for _, n := range []int{7, 103} {
 		withFleet(t, n, func(fl *fleet) {
 			fl.listInZones()
 			fl.record.Evacuate("z1")
-			fl.checkKnown(nil, "z1", true)
+			fl.checkEvacuation(nil, "z1", true)
 			fl.record.Evacuate("z1")
 			fl.record.Evacuate("z2")
-			fl.checkKnown(nil, "z2", true)
+			fl.checkEvacuation(nil, "z2", true)
 			fl.record.Evacuate("nowhere")
 			fl.record.TakeBack("z1")
-			fl.checkKnown(nil, "z1", false)
-			fl.checkKnown(nil, "z2", true)
+			fl.checkEvacuation(nil, "z1", false)
+			fl.checkEvacuation(nil, "z2", true)
 			fl.record.TakeBack("z2")
-			fl.checkKnown(nil, "z2", false)
+			fl.checkEvacuation(nil, "z2", false)
 		})
 	}
 }
 
-// The message of an order, and later that of its end, is lost on its way to one host while
-// targets keep changing. Calls of that host's callers go to the zone until it notices.
-func TestLostOrderIsNoticed(t *testing.T) {
+// Guards against a lost evacuation, or a lost end of one, going unnoticed while targets keep
+// changing: calls would go to the zone.
+func TestLostEvacuationIsNoticed(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		fl.listInZones()
-		behind := fl.idle()
+		behind := fl.nonWatcher()
 		for _, change := range []func(string){fl.record.Evacuate, fl.record.TakeBack} {
 			for _, h := range fl.watching() {
 				fl.net.Cut(ports.HostID(h.addr), ports.HostID(behind.addr))
@@ -111,9 +111,9 @@
 	})
 }
 
-// All hosts lose power while a zone is evacuated, with the store at hand, and once more with it
-// out until they are up. None that serves may have forgotten the order.
-func TestOrderOutlivesAllHosts(t *testing.T) {
+// Guards against a host that serves without a zone's evacuation after all hosts lost power, with
+// the store available and with it down until they are up.
+func TestEvacuationSurvivesRestartOfAllHosts(t *testing.T) {
 	for _, out := range []bool{false, true} {
 		withFleet(t, 14, func(fl *fleet) {
 			fl.listInZones()
@@ -137,7 +137,7 @@
 				}
 				for _, h := range fl.hosts {
 					if h.board.Status.Load().Serving() {
-						assert.Assert(t, h.evacuates("z1"), "%s serves and knows of no order", h.addr)
+						assert.Assert(t, h.evacuates("z1"), "%s serves without the evacuation", h.addr)
 					}
 				}
 				time.Sleep(time.Millisecond)
@@ -147,9 +147,9 @@
 	}
 }
 
-// The store drops its history while an order is given, and later while it is taken back: the
-// watchers read the record whole.
-func TestOrderIsKnownAfterTheHistoryIsGone(t *testing.T) {
+// The store drops its history while a zone is evacuated, and later while the evacuation is
+// lifted, so that the watchers read the store in full.
+func TestEvacuationIsKnownAfterTheHistoryIsGone(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		fl.listInZones()
 		for _, change := range []func(string){fl.record.Evacuate, fl.record.TakeBack} {
@@ -158,18 +158,18 @@
 			time.Sleep(100 * time.Millisecond)
 			fl.record.DropHistory()
 			fl.record.Mute(false)
-			fl.checkKnown(nil, "z1", fl.record.Evacuated("z1"))
+			fl.checkEvacuation(nil, "z1", fl.record.Evacuated("z1"))
 		}
 	})
 }
 
-// A zone is evacuated, the store is out, and the zone is taken back meanwhile. Hosts keep to
-// the order that they know, and hear of its end once the store is back.
-func TestHostsKeepToAnOrderWhileTheStoreIsOut(t *testing.T) {
+// An evacuation is lifted during an outage of the store. Hosts have to keep it in force, and to
+// learn of its end once the store is back.
+func TestHostsKeepEvacuationsWhileTheStoreIsDown(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		fl.listInZones()
 		fl.record.Evacuate("z1")
-		fl.checkKnown(nil, "z1", true)
+		fl.checkEvacuation(nil, "z1", true)
 		for _, h := range fl.hosts {
 			h.client.Set(record.Refuses)
 		}
@@ -183,22 +183,22 @@
 		for _, h := range fl.hosts {
 			h.client.Set(record.Serves)
 		}
-		_, all := fl.knownAfter(nil, func(h *host) bool { return !h.evacuates("z1") })
+		_, all := fl.timeUntil(nil, func(h *host) bool { return !h.evacuates("z1") })
 		assert.Check(t, all < 2*time.Second, "known %s after the store's return", all)
 	})
 }
 
-// A host is cut off while a zone is evacuated and taken back. It comes back with the order and
-// tells others what it knows: none may evacuate the zone again.
-func TestHostThatWasCutOffBringsNoOrderBack(t *testing.T) {
+// Guards against an evacuation being restored by a host that was cut off while it was lifted,
+// and that returns still knowing it.
+func TestHostThatWasCutOffBringsNoEvacuationBack(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		fl.listInZones()
 		fl.record.Evacuate("z1")
-		fl.checkKnown(nil, "z1", true)
-		cut := fl.idle()
-		fl.freeze(cut)
+		fl.checkEvacuation(nil, "z1", true)
+		cut := fl.nonWatcher()
+		fl.isolate(cut)
 		fl.record.TakeBack("z1")
-		fl.checkKnown([]*host{cut}, "z1", false)
+		fl.checkEvacuation([]*host{cut}, "z1", false)
 		fl.net.Heal()
 		cut.client.Set(record.Serves)
 		others := slices.DeleteFunc(slices.Clone(fl.hosts), func(h *host) bool { return h == cut })
--- a/controller/watch/fleet_test.go
+++ b/controller/watch/fleet_test.go
@@ -21,14 +21,14 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// fleet is hosts with one record, in virtual time.
+// fleet is a set of hosts that share one fake store, in virtual time.
 type fleet struct {
 	t      *testing.T
 	net    *peernet.Network
 	record *record.Record
 	hosts  []*host
 	seeds  []string
-	// messages counts those between hosts, replies too.
+	// messages counts the messages between hosts, including replies.
 	messages atomic.Int64
 }
 
@@ -38,7 +38,7 @@
 	board  *blackboard.Board
 	c      *Controller
 	stop   context.CancelFunc
-	// callers is the handler of the host's callers.
+	// callers is the HTTP handler for the host's callers.
 	callers http.Handler
 }
 
@@ -48,7 +48,8 @@
 	withNetwork(t, n, func(*fleet) {}, f)
 }
 
-// withNetwork is withFleet with a network that is set up before the first host starts.
+// withNetwork is withFleet with a function that sets up the network before the first host
+// starts.
 func withNetwork(t *testing.T, n int, setUp, f func(fl *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -75,7 +76,7 @@
 		for _, h := range fl.hosts {
 			h.stop()
 		}
-		time.Sleep(5 * time.Second) // messages under way arrive
+		time.Sleep(5 * time.Second) // messages in transit arrive
 		synctest.Wait()
 	})
 }
@@ -84,12 +85,12 @@
 
 func zone(i int) string { return fmt.Sprint("z", i%3) }
 
-// config is a version of the configuration; each adds a route to those before it.
+// config returns a version of the configuration; each version adds a route to the previous one.
 func config(version uint64) *routing.Config {
 	c := &routing.Config{Version: version, Services: []routing.Service{{Name: service}}}
 	for v := uint64(1); v <= version; v++ {
 		c.Routes = append(c.Routes, routing.Route{
-			Name: fmt.Sprint("added-", v), Host: callersHost, Prefix: added(v), Kind: routing.Safe,
+			Name: fmt.Sprint("added-", v), Host: callersHost, Prefix: addedPrefix(v), Kind: routing.Safe,
 			Timeout: time.Second, MaxAttempts: 1, Parts: []routing.Part{{Service: service, Weight: 1}},
 		})
 	}
@@ -99,8 +100,8 @@
 // callersHost is the host name of all routes.
 const callersHost = "auction.example"
 
-// added is the prefix of the route that a version adds.
-func added(version uint64) string { return fmt.Sprintf("/v%d/", version) }
+// addedPrefix is the prefix of the route that a version adds.
+func addedPrefix(version uint64) string { return fmt.Sprintf("/v%d/", version) }
 
 func targetID(i int) ports.HostID { return ports.HostID(fmt.Sprintf("t%02d", i)) }
 
@@ -153,8 +154,8 @@
 	return 0
 }
 
-// takes reports whether the host would send a call to a target.
-func (h *host) takes(i int) bool {
+// routesTo reports whether the host would send a call to a target.
+func (h *host) routesTo(i int) bool {
 	for _, t := range h.board.Targets.Load().ByService[key] {
 		if t.ID == targetID(i) {
 			return !t.Leaving
@@ -163,8 +164,8 @@
 	return false
 }
 
-// knows reports whether the host lists another one.
-func (h *host) knows(addr string) bool {
+// lists reports whether the host has another one in its list of hosts.
+func (h *host) lists(addr string) bool {
 	for _, m := range h.board.Members.Load().Members {
 		if m.Host.PeerAddr == addr {
 			return true
@@ -183,9 +184,8 @@
 	return out
 }
 
-// freeze cuts a host off from everybody, as one that is stopped: nothing it would
-// say arrives, and the store does not hear it either.
-func (fl *fleet) freeze(h *host) {
+// isolate cuts a host off from all others and from the store, as if its process were stopped.
+func (fl *fleet) isolate(h *host) {
 	h.client.Set(record.Silent)
 	for _, other := range fl.hosts {
 		fl.net.Cut(ports.HostID(h.addr), ports.HostID(other.addr))
@@ -193,13 +193,13 @@
 	}
 }
 
-// await returns how long it takes until all hosts but some satisfy a condition.
-func (fl *fleet) await(but []*host, ok func(h *host) bool) time.Duration {
+// await returns how long it takes until all hosts but those in except satisfy a condition.
+func (fl *fleet) await(except []*host, ok func(h *host) bool) time.Duration {
 	start := time.Now()
 	for time.Since(start) < time.Minute {
 		all := true
 		for _, h := range fl.hosts {
-			if !contains(but, h) && !ok(h) {
+			if !contains(except, h) && !ok(h) {
 				all = false
 			}
 		}
@@ -220,10 +220,10 @@
 	return false
 }
 
-// loseChange has a target begin to leave, and the message of it lost on its way to one
-// host, which it returns.
+// loseChange makes a target start to drain and loses the message about it to one host, which it
+// returns.
 func (fl *fleet) loseChange(i int) (behind *host) {
-	behind = fl.idle()
+	behind = fl.nonWatcher()
 	for _, h := range fl.watching() {
 		fl.net.Cut(ports.HostID(h.addr), ports.HostID(behind.addr))
 	}
--- a/controller/watch/beats.go
+++ b/controller/watch/heartbeat.go
@@ -6,22 +6,22 @@
 	"github.com/cactusproxy/cactusproxy/policy/watchers"
 )
 
-// beatIfDue sends a heartbeat if the last one is old. The lock is held.
-func (c *Controller) beatIfDue(now time.Time) {
+// heartbeatIfDue sends a heartbeat if the last one is old enough. c.mu must be held.
+func (c *Controller) heartbeatIfDue(now time.Time) {
 	w := c.watch
 	if w.lastOK[0].Load() == 0 && w.lastOK[1].Load() == 0 {
-		return // a try to take over; there is nothing to say yet
+		return // an attempt to take over, with no answer from the store yet
 	}
-	if now.Sub(w.beatAt) >= watchers.BeatEvery-time.Millisecond {
-		c.beatNow(now)
+	if now.Sub(w.heartbeatAt) >= watchers.BeatEvery-time.Millisecond {
+		c.heartbeatNow(now)
 	}
 }
 
-// beatNow tells all hosts that this one watches. The lock is held.
-func (c *Controller) beatNow(now time.Time) {
+// heartbeatNow sends a heartbeat to all hosts. c.mu must be held.
+func (c *Controller) heartbeatNow(now time.Time) {
 	w := c.watch
-	w.beatAt = now
-	b := beat{
+	w.heartbeatAt = now
+	b := heartbeat{
 		Host:      c.deps.Self,
 		StoreOK:   w.storeOK(),
 		StoreAge:  w.storeAge(now),
@@ -36,5 +36,5 @@
 	if cfg := c.state.Config(); cfg != nil {
 		b.Version = cfg.Version
 	}
-	c.tellAll(kindBeat, b)
+	c.broadcast(kindHeartbeat, b)
 }
--- a/controller/watch/hosts.go
+++ b/controller/watch/hosts.go
@@ -17,137 +17,137 @@
 )
 
 const (
-	// goneFor is how long a host that was taken off the list is remembered as such. Every
-	// other host has heard of it long before, by the heartbeats' digest of the list.
-	goneFor = 10 * time.Minute
-	// sweepEvery is how often a watcher looks for hosts that are gone.
+	// rememberRemovedFor is how long a removed host is remembered as such. By then every other
+	// host has long learned of the removal through the digest of the list in heartbeats.
+	rememberRemovedFor = 10 * time.Minute
+	// sweepEvery is how often a watcher looks for unreachable hosts.
 	sweepEvery = time.Second
-	// exchangeEvery bounds how often a host tells whom it knows.
+	// exchangeEvery limits how often a host exchanges lists of hosts.
 	exchangeEvery = time.Second
-	// announceEvery bounds how often the list of hosts is written down.
+	// announceEvery limits how often the list of hosts is written to the store.
 	announceEvery = 2 * time.Second
 )
 
-// departed is a host that was taken off the list.
-type departed struct {
+// removedHost is a host that was removed from the list.
+type removedHost struct {
 	host directory.Host
 	at   time.Time
 }
 
-// addHosts takes in hosts that others know and reports whether any was new. One that
-// was taken off the list comes back only if it has started since, or is heard itself.
-// The lock is held.
-func (c *Controller) addHosts(list ...directory.Host) bool {
+// mergeHosts merges hosts that others know of into the list and reports whether it changed. A
+// removed host returns only if it has restarted since or is heard from directly. c.mu must be
+// held.
+func (c *Controller) mergeHosts(list ...directory.Host) bool {
 	changed := false
 	for _, h := range list {
-		if g, ok := c.gone[h.ID()]; ok && h.Start <= g.host.Start {
+		if g, ok := c.removed[h.ID()]; ok && h.Start <= g.host.Start {
 			continue
 		}
-		have, ok := c.hosts[h.ID()]
-		if h.Addr == "" || ok && have.Zone != "" && h.Start <= have.Start || ok && h.Zone == "" {
+		known, ok := c.hosts[h.ID()]
+		if h.Addr == "" || ok && known.Zone != "" && h.Start <= known.Start || ok && h.Zone == "" {
 			continue
 		}
-		delete(c.gone, h.ID())
+		delete(c.removed, h.ID())
 		c.hosts[h.ID()] = h
 		changed = true
 	}
 	if changed {
-		c.publishHostsSoon()
+		c.schedulePublishHosts()
 	}
 	return changed
 }
 
 const (
-	// manyHosts is the number of hosts from which changes of the list are gathered for
-	// gatherHosts before they are published: each costs a look at all hosts, and hundreds that
-	// start together are as many changes.
-	manyHosts   = 256
-	gatherHosts = 50 * time.Millisecond
+	// batchThreshold is the number of hosts from which changes to the list are batched for
+	// batchDelay before they are published: publishing costs time in proportion to all hosts,
+	// and hundreds of hosts that start together cause as many changes.
+	batchThreshold = 256
+	batchDelay     = 50 * time.Millisecond
 )
 
-// publishHostsSoon publishes the list of hosts, with the changes of the next moment if there are
-// many. The lock is held.
-func (c *Controller) publishHostsSoon() {
-	if len(c.hosts) < manyHosts {
+// schedulePublishHosts publishes the list of hosts, batched with the changes of the next moment
+// if there are many hosts. c.mu must be held.
+func (c *Controller) schedulePublishHosts() {
+	if len(c.hosts) < batchThreshold {
 		c.publishHosts()
 		return
 	}
-	if c.hostsGathered {
+	if c.hostsPending {
 		return
 	}
-	c.hostsGathered = true
-	time.AfterFunc(gatherHosts, func() {
+	c.hostsPending = true
+	time.AfterFunc(batchDelay, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.hostsGathered = false
+		c.hostsPending = false
 		c.publishHosts()
 	})
 }
 
-// heard takes in a host that spoke for itself. The lock is held.
-func (c *Controller) heard(h directory.Host) {
-	delete(c.gone, h.ID())
-	c.addHosts(h)
+// noteHost adds a host that was heard from directly. c.mu must be held.
+func (c *Controller) noteHost(h directory.Host) {
+	delete(c.removed, h.ID())
+	c.mergeHosts(h)
 }
 
-// leaveOutIfDue has a watcher take hosts that it has not reached for long off the list.
-// The others hear of it with the list, once a heartbeat shows that theirs differs. The
-// lock is held.
-func (c *Controller) leaveOutIfDue(now time.Time) {
+// removeUnreachable makes a watcher remove hosts that it has not reached for a long time, if the
+// next check is due. The others learn of it by exchanging lists once a heartbeat shows that
+// theirs differs. c.mu must be held.
+func (c *Controller) removeUnreachable(now time.Time) {
 	w := c.watch
-	// The reach says something of hosts that were sent to all the time.
+	// Reachability only covers hosts to which messages were sent all along.
 	if c.deps.Reach == nil || now.Sub(w.started) < watchers.LeftOutAfter || now.Sub(w.sweptAt) < sweepEvery {
 		return
 	}
 	w.sweptAt = now
 	for _, id := range watchers.LeftOut(c.self, c.hostIDs(), c.deps.Reach.UnreachableFor) {
-		c.leaveOut(now, c.hosts[id], c.self)
+		c.removeHost(now, c.hosts[id], c.self)
 	}
-	for id, g := range c.gone {
-		if now.Sub(g.at) > goneFor {
-			delete(c.gone, id)
+	for id, g := range c.removed {
+		if now.Sub(g.at) > rememberRemovedFor {
+			delete(c.removed, id)
 		}
 	}
 }
 
-// leaveOut takes a host off the list. The lock is held.
-func (c *Controller) leaveOut(now time.Time, h directory.Host, from ports.HostID) {
+// removeHost removes a host from the list. c.mu must be held.
+func (c *Controller) removeHost(now time.Time, h directory.Host, from ports.HostID) {
 	id := h.ID()
 	delete(c.hosts, id)
-	delete(c.beats, id)
-	delete(c.refused, id)
-	c.gone[id] = departed{host: h, at: now}
+	delete(c.heartbeats, id)
+	delete(c.refusedAt, id)
+	c.removed[id] = removedHost{host: h, at: now}
 	c.deps.Log.Info("host left out", zap.String("peer", string(id)), zap.String("from", string(from)), zap.Int("hosts", len(c.hosts)))
-	c.publishHostsSoon()
+	c.schedulePublishHosts()
 }
 
-// leaveOutAll takes in which hosts another one took off its list, but for those that
-// have started since or that this host, watching, reaches. The lock is held.
-func (c *Controller) leaveOutAll(now time.Time, list []directory.Host, from ports.HostID) {
+// mergeRemoved applies another host's removals, except of hosts that have restarted since or
+// that this host, as a watcher, still reaches. c.mu must be held.
+func (c *Controller) mergeRemoved(now time.Time, list []directory.Host, from ports.HostID) {
 	for _, g := range list {
-		have, ok := c.hosts[g.ID()]
-		if !ok || g.ID() == c.self || have.Start > g.Start || c.reaches(g.ID()) {
+		known, ok := c.hosts[g.ID()]
+		if !ok || g.ID() == c.self || known.Start > g.Start || c.reaches(g.ID()) {
 			continue
 		}
-		c.leaveOut(now, have, from)
+		c.removeHost(now, known, from)
 	}
 }
 
-// reaches reports whether this host watches, and its heartbeats arrive at another.
+// reaches reports whether this host is a watcher and its heartbeats reach another host.
 func (c *Controller) reaches(id ports.HostID) bool {
 	return c.watch != nil && c.deps.Reach != nil && c.deps.Reach.UnreachableFor(id) == 0
 }
 
-// goneList returns the hosts that were taken off the list. The lock is held.
-func (c *Controller) goneList() []directory.Host {
-	list := make([]directory.Host, 0, len(c.gone))
-	for _, g := range c.gone {
+// removedList returns the hosts that were removed from the list. c.mu must be held.
+func (c *Controller) removedList() []directory.Host {
+	list := make([]directory.Host, 0, len(c.removed))
+	for _, g := range c.removed {
 		list = append(list, g.host)
 	}
 	return list
 }
 
-// hostIDs returns the names of the hosts this one knows. The lock is held.
+// hostIDs returns the IDs of the known hosts. c.mu must be held.
 func (c *Controller) hostIDs() []ports.HostID {
 	list := make([]ports.HostID, 0, len(c.hosts))
 	for id := range c.hosts {
@@ -156,8 +156,7 @@
 	return list
 }
 
-// publishHosts tells the peer link and the board whom this host knows. The lock
-// is held.
+// publishHosts passes the list of hosts to the peer link and the board. c.mu must be held.
 func (c *Controller) publishHosts() {
 	members := &blackboard.Members{Self: c.self, Complete: c.hostsComplete}
 	var list []ports.Host
@@ -173,11 +172,11 @@
 	c.deps.Board.Members.Store(members)
 }
 
-// completeAfter is how long a host has to watch until it has heard of all hosts: each tells a
-// watcher of itself once its list differs from the watcher's.
+// completeAfter is how long a host has to watch until it knows all hosts: each host exchanges
+// lists with a watcher once its own differs from the watcher's.
 const completeAfter = time.Second
 
-// noteComplete takes in that this host knows all others. The lock is held.
+// noteComplete records that this host knows all others. c.mu must be held.
 func (c *Controller) noteComplete() {
 	if c.hostsComplete {
 		return
@@ -186,7 +185,7 @@
 	c.publishHosts()
 }
 
-// hostList returns the hosts this one knows. The lock is held.
+// hostList returns the known hosts. c.mu must be held.
 func (c *Controller) hostList() []directory.Host {
 	list := make([]directory.Host, 0, len(c.hosts))
 	for _, h := range c.hosts {
@@ -195,7 +194,7 @@
 	return list
 }
 
-// hostDigest is the same on hosts that know the same hosts. The lock is held.
+// hostDigest is equal on hosts that know the same hosts. c.mu must be held.
 func (c *Controller) hostDigest() uint64 {
 	var sum uint64
 	for id := range c.hosts {
@@ -204,26 +203,26 @@
 	return sum
 }
 
-// exchangeHosts tells a watcher whom this host knows and learns whom it knows, not
-// too often. The lock is held.
+// exchangeHosts exchanges lists of hosts after a watcher's heartbeat showed a difference, rate
+// limited by exchangeEvery. c.mu must be held.
 func (c *Controller) exchangeHosts(with ports.HostID, now time.Time) {
-	if now.Before(c.exchangeAt) {
+	if now.Before(c.nextExchange) {
 		return
 	}
-	c.exchangeAt = now.Add(exchangeEvery + time.Duration(c.rng.Int64N(int64(exchangeEvery))))
-	c.tellHosts(c.exchangePartner(with))
+	c.nextExchange = now.Add(exchangeEvery + time.Duration(c.rng.Int64N(int64(exchangeEvery))))
+	c.exchangeHostsWith(c.exchangePartner(with))
 }
 
-// toWatchers is about how many hosts at a time exchange lists with a watcher itself, where there
-// are many.
-const toWatchers = 64
+// directExchanges is roughly how many hosts at a time exchange lists with a watcher itself once
+// there are many hosts.
+const directExchanges = 64
 
-// exchangePartner returns with whom this host exchanges lists after a watcher's heartbeat showed
-// that its own differs: with any host, where there are many. What each knows spreads all the
-// same; were hundreds that start together to tell the watchers, these would hold more answers
-// than their links carry. The lock is held.
+// exchangePartner returns the host to exchange lists with after a watcher's heartbeat showed a
+// difference: any host, where there are many. The lists spread all the same; if hundreds of
+// hosts that start together all asked the watchers, these would have to hold more replies than
+// their links can carry. c.mu must be held.
 func (c *Controller) exchangePartner(watcher ports.HostID) ports.HostID {
-	if len(c.hosts) < manyHosts || c.rng.IntN(len(c.hosts)) < toWatchers {
+	if len(c.hosts) < batchThreshold || c.rng.IntN(len(c.hosts)) < directExchanges {
 		return watcher
 	}
 	ids := c.hostIDs()
@@ -233,44 +232,44 @@
 	return watcher
 }
 
-// tellHosts exchanges with another host whom both know. The lock is held.
-func (c *Controller) tellHosts(with ports.HostID) {
-	msg := hostsMessage{Hosts: peer.Pack(c.hostList()), Gone: peer.Pack(c.goneList())}
+// exchangeHostsWith exchanges lists of hosts with another host. c.mu must be held.
+func (c *Controller) exchangeHostsWith(with ports.HostID) {
+	msg := hostsMessage{Hosts: peer.Pack(c.hostList()), Removed: peer.Pack(c.removedList())}
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), syncTimeout)
 		defer cancel()
 		reply, err := peer.Call[hostsMessage](ctx, c.deps.Link, with, kindHosts, msg)
 		if err != nil {
-			return // the next heartbeat asks again
+			return // the next heartbeat triggers another exchange
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.addHosts(reply.Hosts.Value...)
-		c.leaveOutAll(time.Now(), reply.Gone.Value, with)
+		c.mergeHosts(reply.Hosts.Value...)
+		c.mergeRemoved(time.Now(), reply.Removed.Value, with)
 	}()
 }
 
-// onHosts takes in whom another host knows, and tells whom this one knows.
+// onHosts merges another host's list of hosts and replies with this host's.
 func (c *Controller) onHosts(_ context.Context, from ports.HostID, msg hostsMessage) (hostsMessage, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.gone, from)
-	c.addHosts(msg.Hosts.Value...)
-	c.leaveOutAll(time.Now(), msg.Gone.Value, from)
-	return hostsMessage{Hosts: peer.Pack(c.hostList()), Gone: peer.Pack(c.goneList())}, nil
+	delete(c.removed, from)
+	c.mergeHosts(msg.Hosts.Value...)
+	c.mergeRemoved(time.Now(), msg.Removed.Value, from)
+	return hostsMessage{Hosts: peer.Pack(c.hostList()), Removed: peer.Pack(c.removedList())}, nil
 }
 
-// announceIfDue has the first of the watchers write down the hosts that it knows.
-// The lock is held.
+// announceIfDue makes the first of the watchers write the list of hosts to the store if it has
+// changed. c.mu must be held.
 func (c *Controller) announceIfDue(ctx context.Context, now time.Time) {
 	digest := c.hostDigest()
-	if digest == c.announced || now.Before(c.announceAt) || !c.watch.storeOK() {
+	if digest == c.announcedDigest || now.Before(c.nextAnnounce) || !c.watch.storeOK() {
 		return
 	}
-	if !watchers.First(c.self, watchers.Fresh(now, c.beats)) {
+	if !watchers.First(c.self, watchers.Fresh(now, c.heartbeats)) {
 		return
 	}
-	c.announceAt = now.Add(announceEvery)
+	c.nextAnnounce = now.Add(announceEvery)
 	hosts := c.hostList()
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, syncTimeout)
@@ -278,11 +277,11 @@
 		c.count.calls.Add(1)
 		if err := c.deps.Source.Announce(ctx, hosts); err != nil {
 			c.count.failed.Add(1)
-			c.deps.Log.Warn("list of hosts not written down", zap.Error(err))
+			c.deps.Log.Warn("failed to write the list of hosts", zap.Error(err))
 			return
 		}
 		c.mu.Lock()
-		c.announced = digest
+		c.announcedDigest = digest
 		c.mu.Unlock()
 	}()
 }
--- a/controller/watch/hosts_test.go
+++ b/controller/watch/hosts_test.go
@@ -11,15 +11,14 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Three hosts go for good, and others come at new addresses. Those that went must leave
-// the list of every host: each host's part of the questions, of the connections and of the
-// further attempts is an even share of that list, and after a month of replacements
-// hardly anything would be left.
+// Guards against hosts that are gone for good staying on the list of hosts: a host's share of
+// queries, connections and retries is an even share of that list, and would shrink with each
+// replaced host.
 func TestHostsThatAreGoneLeaveTheList(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
-		var went []*host
-		went, fl.hosts = fl.hosts[2:5], append(fl.hosts[:2:2], fl.hosts[5:]...)
-		for _, h := range went {
+		var stopped []*host
+		stopped, fl.hosts = fl.hosts[2:5], append(fl.hosts[:2:2], fl.hosts[5:]...)
+		for _, h := range stopped {
 			h.stop()
 		}
 		for i := range 3 {
@@ -27,7 +26,7 @@
 		}
 		time.Sleep(watchers.LeftOutAfter / 2)
 		for _, h := range fl.hosts {
-			assert.Check(t, h.knows(went[0].addr), "%s took a host that may be starting again off its list", h.addr)
+			assert.Check(t, h.lists(stopped[0].addr), "%s removed a host that may be restarting", h.addr)
 		}
 		time.Sleep(watchers.LeftOutAfter)
 		for _, h := range fl.hosts {
@@ -36,17 +35,17 @@
 	})
 }
 
-// A host that went for long starts again at its address, and another one comes back from
-// behind a cut without a start. Both must be on every list soon after, and stay on it.
+// A host that was down for long restarts at its address, and another returns from behind a
+// network partition without a restart. Both must soon be on every list again and stay there.
 func TestHostsThatComeBackAreListedAgain(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		stopped, cut := fl.hosts[4], fl.hosts[5]
 		stopped.stop()
 		fl.hosts = append(fl.hosts[:4:4], fl.hosts[5:]...)
-		fl.freeze(cut)
+		fl.isolate(cut)
 		time.Sleep(2 * watchers.LeftOutAfter)
 		for _, h := range fl.hosts {
-			assert.Equal(t, h.knows(cut.addr), h == cut, "%s", h.addr)
+			assert.Equal(t, h.lists(cut.addr), h == cut, "%s", h.addr)
 		}
 		fl.net.Heal()
 		cut.client.Set(record.Serves)
@@ -60,9 +59,9 @@
 	})
 }
 
-// Two hosts are cut off from the others for minutes, but not from the store. They must
-// not take the others off their list: with each side alone on its own list nobody would
-// find the other again.
+// Guards against the smaller side of a network partition removing the other from its list: two
+// hosts are cut off from the others for minutes, but not from the store. If each side listed
+// only itself, they would not find each other again.
 func TestFewHostsBehindACutKeepTheOthersOnTheirList(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		few := fl.hosts[:2]
--- a/controller/watch/messages.go
+++ b/controller/watch/messages.go
@@ -10,50 +10,50 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Messages between hosts.
+// Kinds of messages between hosts.
 const (
-	kindBeat peer.Kind = peer.KindWatch + iota
+	kindHeartbeat peer.Kind = peer.KindWatch + iota
 	kindChanges
 	kindSync
 	kindHosts
-	// kindRelay is kindChanges to a host that passes it on to others of its zone.
+	// kindRelay carries changes to a host that forwards them to others.
 	kindRelay
-	// kindRefused tells that the store did not serve the sender's try to take over.
+	// kindRefused says that the store did not serve the sender's attempt to watch.
 	kindRefused
-	// kindConfirm asks a host that watches the store how new its configuration is.
+	// kindConfirm asks a watcher how recently its configuration was confirmed.
 	kindConfirm
 )
 
-// beat is a watcher's heartbeat, to all hosts.
-type beat struct {
+// heartbeat is sent by a watcher to all hosts.
+type heartbeat struct {
 	Host directory.Host `msgpack:"host"`
-	// StoreOK, StoreAge and StoreWait are as in watchers.Beat.
+	// StoreOK, StoreAge and StoreWait have the meaning they have in watchers.Beat.
 	StoreOK   bool          `msgpack:"store_ok"`
 	StoreAge  time.Duration `msgpack:"store_age"`
 	StoreWait time.Duration `msgpack:"store_wait"`
-	// Version, Newest and Digest say what the watcher knows, so that a host that
-	// missed a change notices.
+	// Version, Newest and Digest describe the watcher's state, so that a host that missed a
+	// change notices.
 	Version uint64             `msgpack:"version"`
 	Newest  directory.Revision `msgpack:"newest"`
 	Digest  uint64             `msgpack:"digest"`
-	// Evacuations and EvacuationsAt are the digest of the orders to evacuate zones and the
-	// newest revision of one. They stand apart from the targets, which change all the time:
-	// a lost order would hide behind the next change of a target.
+	// Evacuations and EvacuationsAt are the digest of the evacuations and their newest revision.
+	// They are separate from those of the targets, which change all the time: the next change of
+	// a target would hide a lost evacuation.
 	Evacuations   uint64             `msgpack:"evacuations"`
 	EvacuationsAt directory.Revision `msgpack:"evacuations_at"`
-	// Hosts is a digest of the hosts that the watcher knows.
+	// Hosts is the digest of the hosts that the watcher knows.
 	Hosts uint64 `msgpack:"hosts"`
 }
 
-// step is the body of kindChanges.
-type step = peer.Packed[directory.Changes]
+// packedChanges is the body of kindChanges.
+type packedChanges = peer.Packed[directory.Changes]
 
 // relayed is the body of kindRelay.
 type relayed struct {
-	// Step is a step as it was encoded once for all hosts.
-	Step msgpack.RawMessage `msgpack:"step"`
-	// Zone asks the receiver to pass the step on to all hosts of its zone; else those of
-	// To get it through it.
+	// Changes are encoded once for all hosts.
+	Changes msgpack.RawMessage `msgpack:"step"`
+	// Zone asks the receiver to forward the changes to all hosts of its zone; otherwise it
+	// forwards them to those in To.
 	Zone bool           `msgpack:"zone"`
 	To   []ports.HostID `msgpack:"to"`
 }
@@ -64,46 +64,45 @@
 // confirmRequest is the empty body of kindConfirm.
 type confirmRequest struct{}
 
-// confirmReply tells how new the configuration of a host is that watches the store.
+// confirmReply says how recently the store confirmed a watcher's configuration.
 type confirmReply struct {
-	// Version is the one that it has.
+	// Version is the watcher's version of the configuration.
 	Version uint64 `msgpack:"version"`
-	// Known is set if the store told it so, Age how long before the reply there was certainly
-	// none newer.
+	// Known is set if the store confirmed it. Age is how long before the reply there was
+	// certainly no newer one.
 	Known bool          `msgpack:"known"`
 	Age   time.Duration `msgpack:"age"`
 }
 
-// syncRequest asks for all that a host knows.
+// syncRequest asks a host for the state that the sender lacks.
 type syncRequest struct {
-	// Refer is set by a host that knows nothing yet: if there are many hosts, it is told of
-	// a few that know, and not what they know.
+	// Refer is set by a host that has no state yet: if there are many hosts, the reply refers it
+	// to a few that have the state instead of carrying it.
 	Refer bool `msgpack:"refer"`
-	// Host is who asks, Version the configuration that it has.
+	// Host is the sender, Version its version of the configuration.
 	Host    directory.Host `msgpack:"host"`
 	Version uint64         `msgpack:"version"`
-	// Buckets are those of its list of targets.
+	// Buckets are the digests of the parts of the sender's list of targets.
 	Buckets []uint64 `msgpack:"buckets"`
 }
 
-// hostsMessage tells whom a host knows, both ways.
+// hostsMessage carries the list of hosts, as a request and as the reply.
 type hostsMessage struct {
 	Hosts hostList `msgpack:"hosts"`
-	// Gone are hosts that were taken off the list.
-	Gone hostList `msgpack:"gone"`
+	// Removed are hosts that were removed from the list.
+	Removed hostList `msgpack:"gone"`
 }
 
-// syncReply is all that a host knows.
+// syncReply carries the state that the sender of a syncRequest lacks.
 type syncReply struct {
-	// Fresh is set if the host hears from a watcher, or is one.
+	// Fresh is set if the replying host is a watcher or hears from one.
 	Fresh bool `msgpack:"fresh"`
-	// Ask, if not empty, are hosts of the asker's zone that are to be asked in place of
-	// this one.
-	Ask     []ports.HostID `msgpack:"ask"`
-	Changes step           `msgpack:"changes"`
-	// Hosts are those that the host knows; one that is not fresh does not tell.
+	// Referrals, if not empty, are hosts of the sender's zone to ask instead of this one.
+	Referrals []ports.HostID `msgpack:"ask"`
+	Changes   packedChanges  `msgpack:"changes"`
+	// Hosts are the hosts known to the replying host; empty unless Fresh is set.
 	Hosts hostList `msgpack:"hosts"`
 }
 
-// hostList is hosts as they travel.
+// hostList is an encoded list of hosts.
 type hostList = peer.Packed[[]directory.Host]
--- a/controller/watch/outage_test.go
+++ b/controller/watch/outage_test.go
@@ -12,10 +12,9 @@
 	"github.com/cactusproxy/cactusproxy/policy/watchers"
 )
 
-// The store is out for all hosts, silent or refusing, for eight seconds. Calls are paid
-// for, and one that is coming back must not meet the calls of all hosts: they are to find
-// out by a few tries that it is out, and then to try it now and then. Once it is back
-// everything must be known soon.
+// Guards against calls by all hosts while the store is down for all of them, silent or refusing:
+// calls are paid for, and would meet the store as it recovers. A few attempts have to establish
+// that it is down, followed by occasional ones. After its return changes must be known soon.
 func TestOutageIsMetWithFewCalls(t *testing.T) {
 	for _, n := range []int{14, 121} {
 		for _, mode := range []record.Mode{record.Refuses, record.Silent} {
@@ -31,7 +30,7 @@
 				for _, h := range fl.hosts {
 					h.client.Set(record.Serves)
 				}
-				took := fl.await(nil, func(h *host) bool { return !h.takes(3) })
+				took := fl.await(nil, func(h *host) bool { return !h.routesTo(3) })
 				assert.Check(t, took < time.Second, "known %s after the return", took)
 				time.Sleep(3 * time.Second)
 				assert.Equal(t, len(fl.watching()), watchers.Wanted)
@@ -40,34 +39,34 @@
 	}
 }
 
-// Callers of routes that were added are turned away by all hosts, for as long as links are full:
-// the hosts that watched are gone, and answers of the store take half a second to all others.
-// Each that took over gave up after 0.3 s, and the next began with 0.3 s again, so that nobody
-// heard of anything. Later tries must wait for longer, at whatever host they are made.
+// Guards against a slow store that no host manages to watch: the watchers are gone, and answers
+// take at least half a second. If each host that took over gave up after 0.3 s and the next
+// began with 0.3 s again, no host would learn of new routes. Later attempts, at whichever host,
+// have to wait longer.
 func TestSlowStoreIsTakenOver(t *testing.T) {
 	for _, lag := range []time.Duration{500 * time.Millisecond, time.Second} {
 		for _, n := range []int{14, 121} {
 			withFleet(t, n, func(fl *fleet) {
 				frozen := fl.watching()
 				for _, h := range frozen {
-					fl.freeze(h)
+					fl.isolate(h)
 				}
 				fl.record.SetLag(lag)
 				fl.record.Configure(config(2))
 				took := fl.await(frozen, func(h *host) bool { return h.version() == 2 })
 				t.Logf("%d hosts, answers after %s: in force after %s", n, lag, took)
-				assert.Check(t, took < slowBound, "%d hosts, answers after %s: in force after %s", n, lag, took)
+				assert.Check(t, took < slowStoreBound, "%d hosts, answers after %s: in force after %s", n, lag, took)
 			})
 		}
 	}
 }
 
-// slowBound is the time in which a change must be known everywhere while the store is slow, which
-// the platform allows to be 5 s more.
-const slowBound = bound + 5*time.Second
+// slowStoreBound is the time within which a change must be known everywhere while the store is
+// slow, for which the platform allows 5 s more.
+const slowStoreBound = bound + 5*time.Second
 
-// The store turns away every host but four, for long. One of the four must be found soon
-// enough that all know of a leaving target in time.
+// The store rejects all hosts but four for a long time. One of the four must be found soon
+// enough for all to learn of a leaving target in time.
 func TestOneServedHostIsFoundAmongMany(t *testing.T) {
 	for _, n := range []int{14, 60} {
 		withFleet(t, n, func(fl *fleet) {
@@ -82,27 +81,28 @@
 			}
 			time.Sleep(10 * time.Second)
 			fl.record.Put(entryOf(3, true))
-			took := fl.await(nil, func(h *host) bool { return !h.takes(3) })
+			took := fl.await(nil, func(h *host) bool { return !h.routesTo(3) })
 			assert.Check(t, took < bound, "%d hosts: known after %s", n, took)
 		})
 	}
 }
 
-// The store is out for longer than targets' entries live, so that they lapse. When
-// it is back the targets that live list themselves again within two seconds. Until
-// then callers must not be refused for want of targets; after it the one that did
-// not come back must be taken as gone.
+// Guards against refusing callers for lack of targets after an outage in which the targets'
+// entries expired: targets that are alive list themselves again within two seconds of the
+// store's return. One that does not must then count as gone.
 func TestTargetsWhoseEntriesLapsedAreUsedUntilTheyAreBack(t *testing.T) {
-	checkLapsedTargets(t, func(*host) {})
+	checkExpiredTargets(t, func(*host) {})
 }
 
-// Guards against taking a store that still tells of configurations for one that had not been out.
+// Guards against concluding that the store was not down because it still answered about the
+// configuration.
 func TestTargetsThatLapsedWhileTheirTableAloneWasOutAreUsed(t *testing.T) {
-	checkLapsedTargets(t, func(h *host) { h.client.Spare(directory.TopicConfig) })
+	checkExpiredTargets(t, func(h *host) { h.client.Spare(directory.TopicConfig) })
 }
 
-// checkLapsedTargets has the store turn away all hosts, set up beforehand.
-func checkLapsedTargets(t *testing.T, setUp func(h *host)) {
+// checkExpiredTargets runs an outage of the store in which entries expire, after a setup for
+// each host.
+func checkExpiredTargets(t *testing.T, setUp func(h *host)) {
 	withFleet(t, 14, func(fl *fleet) {
 		for _, h := range fl.hosts {
 			setUp(h)
@@ -122,20 +122,20 @@
 		for i := range 9 {
 			time.Sleep(200 * time.Millisecond)
 			for _, h := range fl.hosts {
-				assert.Check(t, h.takes(9) && h.takes(i), "%s after the return", time.Since(back))
+				assert.Check(t, h.routesTo(9) && h.routesTo(i), "%s after the return", time.Since(back))
 			}
 			fl.record.Put(entryOf(i, false))
 		}
 		time.Sleep(2*time.Second + returnHold - time.Since(back))
 		for _, h := range fl.hosts {
-			assert.Check(t, h.takes(0) && h.takes(8))
-			assert.Check(t, !h.takes(9), "the target that is gone is still used")
+			assert.Check(t, h.routesTo(0) && h.routesTo(8))
+			assert.Check(t, !h.routesTo(9), "the target that is gone is still used")
 		}
 	})
 }
 
-// The store is out and a host starts. It must learn the configuration and the
-// targets from the others.
+// A host that starts while the store is down must learn the configuration and the targets from
+// the others.
 func TestStartWithoutStore(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		for _, h := range fl.hosts {
@@ -146,12 +146,12 @@
 		h.client.Set(record.Refuses)
 		time.Sleep(time.Second)
 		assert.Equal(t, h.version(), uint64(1))
-		assert.Check(t, h.takes(0))
+		assert.Check(t, h.routesTo(0))
 	})
 }
 
-// Guards against using a target that is gone for longer than drains allow, since hosts whose own links
-// were full took the store for one that had been out.
+// Guards against using a removed target for longer than a drain allows: hosts whose own links
+// were saturated took the store for one that had been down.
 func TestShortSilenceOfTheStoreHoldsNoTargetThatIsGone(t *testing.T) {
 	withFleet(t, 30, func(fl *fleet) {
 		for _, silent := range []time.Duration{400 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
@@ -163,9 +163,9 @@
 				h.client.Set(record.Serves)
 			}
 			fl.record.Put(entryOf(3, false))
-			fl.await(nil, func(h *host) bool { return h.takes(3) })
+			fl.await(nil, func(h *host) bool { return h.routesTo(3) })
 			fl.record.Remove(targetID(3))
-			gone := fl.await(nil, func(h *host) bool { return !h.takes(3) })
+			gone := fl.await(nil, func(h *host) bool { return !h.routesTo(3) })
 			t.Logf("silent for %s: gone after %s", silent, gone)
 			assert.Check(t, gone < 2*time.Second, "%s", gone)
 			time.Sleep(10 * time.Second)
@@ -173,8 +173,8 @@
 	})
 }
 
-// Guards against dropping targets whose entries ran out, on the word of a host that started while the
-// store was out and knows of no outage.
+// Guards against dropping targets whose entries expired because a host that started during the
+// outage, and does not know of it, forwards their removal.
 func TestHostsThatStartInAnOutageDropNoTargets(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		for _, h := range fl.hosts {
@@ -197,10 +197,10 @@
 		}
 		for begin := time.Now(); time.Since(begin) < 1800*time.Millisecond; time.Sleep(10 * time.Millisecond) {
 			for _, h := range old {
-				assert.Assert(t, h.takes(0), "%s after the return", time.Since(begin))
+				assert.Assert(t, h.routesTo(0), "%s after the return", time.Since(begin))
 			}
 		}
-		gone := fl.await(nil, func(h *host) bool { return !h.takes(0) })
+		gone := fl.await(nil, func(h *host) bool { return !h.routesTo(0) })
 		assert.Check(t, gone < 2*time.Second, "%s", gone)
 	})
 }
--- a/controller/watch/peers.go
+++ b/controller/watch/peers.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	// syncTimeout bounds an exchange of all that two hosts know.
+	// syncTimeout bounds the transfer of a whole state between two hosts.
 	syncTimeout = time.Second
-	// checkTimeout bounds an exchange of what a host missed: some KB, a few ms on a good
-	// day. Two in a row and the wait before them leave a second of the 2 s in which a
-	// leaving target must be known.
-	checkTimeout = 400 * time.Millisecond
-	// catchUpAfter is how long a host that is behind waits for the change itself.
+	// catchUpTimeout bounds the transfer of what a host missed: some kilobytes, a few
+	// milliseconds normally. Two attempts in a row and the delay before them leave a second of
+	// the 2 s within which a leaving target must be known.
+	catchUpTimeout = 400 * time.Millisecond
+	// catchUpAfter is how long a host that is behind waits for the change itself to arrive.
 	catchUpAfter = 150 * time.Millisecond
 )
 
-// onBeat takes in a watcher's heartbeat.
-func (c *Controller) onBeat(ctx context.Context, from ports.HostID, b beat) (struct{}, error) {
-	c.count.beats.Add(1)
+// onHeartbeat handles a watcher's heartbeat.
+func (c *Controller) onHeartbeat(ctx context.Context, from ports.HostID, b heartbeat) (struct{}, error) {
+	c.count.heartbeats.Add(1)
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	was, had := c.beats[from]
-	c.beats[from] = watchers.Beat{Heard: now, StoreOK: b.StoreOK, StoreAge: b.StoreAge, StoreWait: b.StoreWait}
-	c.heard(b.Host)
-	c.hear(b.Version)
+	previous, known := c.heartbeats[from]
+	c.heartbeats[from] = watchers.Beat{Heard: now, StoreOK: b.StoreOK, StoreAge: b.StoreAge, StoreWait: b.StoreWait}
+	c.noteHost(b.Host)
+	c.noteVersion(b.Version)
 	if b.StoreOK {
 		c.storeServed(now.Add(-b.StoreAge))
 		c.noteOutage(now.Add(-b.StoreAge))
 	}
-	if !had || was.StoreOK != b.StoreOK || !was.Fresh(now) {
+	if !known || previous.StoreOK != b.StoreOK || !previous.Fresh(now) {
 		c.wakeUp()
 	}
 	if c.behind(b) {
-		c.checkLater(from, func() bool { return c.behind(b) })
+		c.scheduleCatchUp(from, func() bool { return c.behind(b) })
 	}
 	if b.Hosts == c.hostDigest() {
 		c.noteComplete()
@@ -52,31 +52,31 @@
 	return struct{}{}, nil
 }
 
-// onRefused takes in that the store did not serve another host's try to watch. The turns
-// to try it are further apart once it is out for all.
+// onRefused records that the store did not serve another host's attempt to watch. The attempts
+// are spaced further apart once the store is down for all hosts.
 func (c *Controller) onRefused(_ context.Context, from ports.HostID, _ refused) (struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refused[from] = time.Now()
+	c.refusedAt[from] = time.Now()
 	c.wakeUp()
 	return struct{}{}, nil
 }
 
-// storeServed takes in that the store answered some host at a moment: tries that failed
-// before it say nothing any more. The lock is held.
+// storeServed records that the store answered some host at a time: attempts that failed before
+// then no longer count. c.mu must be held.
 func (c *Controller) storeServed(at time.Time) {
-	for id, refusedAt := range c.refused {
+	for id, refusedAt := range c.refusedAt {
 		if refusedAt.Before(at) {
-			delete(c.refused, id)
+			delete(c.refusedAt, id)
 		}
 	}
 }
 
-// behind reports whether a watcher knows more than this host. The lock is held.
+// behind reports whether a watcher has state that this host lacks. c.mu must be held.
 //
-// The newest revisions alone may be the same after one of two changes was lost. The digest is that
-// of all targets listed, so that any difference shows.
-func (c *Controller) behind(b beat) bool {
+// Comparing the newest revisions is not enough: they may be equal although an earlier change was
+// lost. The digest covers all listed targets, so that any difference shows.
+func (c *Controller) behind(b heartbeat) bool {
 	newest := c.state.Newest()
 	return newest < b.Newest ||
 		newest == b.Newest && c.state.Digest() != b.Digest ||
@@ -85,7 +85,7 @@
 		c.state.Evacuations().Lacks(b.EvacuationsAt, b.Evacuations)
 }
 
-// version is that of the configuration at hand, or 0. The lock is held.
+// version is the version of the current configuration, or 0 if there is none. c.mu must be held.
 func (c *Controller) version() uint64 {
 	if cfg := c.state.Config(); cfg != nil {
 		return cfg.Version
@@ -93,147 +93,148 @@
 	return 0
 }
 
-// checkLater has this host ask for what it missed, if it is still behind after a moment:
-// the change itself may be on its way behind the heartbeat. It asks the watcher whose
-// heartbeat told so, and only if that does not answer another host of its zone, so that
-// neither a silent host nor one that lacks the same costs it the time in which a leaving
-// target must be known. What it is told is small: the parts that differ. The lock is held.
+// scheduleCatchUp fetches what this host missed if it is still behind after catchUpAfter: the
+// change may be in transit behind the heartbeat. It asks the watcher that sent the heartbeat,
+// and another host of its zone only if that one does not reply, so that neither a silent host
+// nor one that lacks the same change uses up the time within which a leaving target must be
+// known. The reply is small, since it holds only the parts that differ. c.mu must be held.
 //
-// Where hosts are many it is the other way round: a host that fell out of a large change
-// takes dozens with it, and a watcher that has to tell them all what they missed fills
-// its link. Most of the other hosts know, and one that does not says so in some ms.
+// With many hosts the order is reversed: a host that a large change did not reach leaves dozens
+// of others without it too, and a watcher that had to serve all of them would saturate its link.
+// Most other hosts have the change, and one that does not says so within milliseconds.
 //
-// The function tells whether the host still lacks something; it is called with the lock
-// held.
-func (c *Controller) checkLater(from ports.HostID, still func() bool) {
-	if c.checking {
+// The function still reports whether the host is still behind; it is called with c.mu held.
+func (c *Controller) scheduleCatchUp(from ports.HostID, still func() bool) {
+	if c.catchingUp {
 		return
 	}
-	c.checking = true
+	c.catchingUp = true
 	time.AfterFunc(catchUpAfter, func() {
 		c.catchUp(from, still)
 		c.mu.Lock()
-		c.checking = false
+		c.catchingUp = false
 		c.mu.Unlock()
 	})
 }
 
 func (c *Controller) catchUp(from ports.HostID, still func() bool) {
-	near, many, behind := c.stillBehind(still)
+	zonePeer, manyHosts, behind := c.stillBehind(still)
 	if behind {
 		c.logBehind(from)
 	}
-	order := []ports.HostID{from, near}
-	if many {
-		order = []ports.HostID{near, from}
+	order := []ports.HostID{from, zonePeer}
+	if manyHosts {
+		order = []ports.HostID{zonePeer, from}
 	}
 	for _, id := range order {
 		if !behind {
 			return
 		}
-		if id != "" && c.syncWithin(id, checkTimeout).reached && !many {
+		if id != "" && c.syncWithin(id, catchUpTimeout).reached && !manyHosts {
 			return
 		}
 		_, _, behind = c.stillBehind(still)
 	}
 }
 
-// stillBehind reports whether this host still lacks something, names another host of its
-// zone, and reports whether there are many hosts.
-func (c *Controller) stillBehind(still func() bool) (near ports.HostID, many, behind bool) {
+// stillBehind reports whether this host is still behind and whether there are many hosts, and
+// returns a random other host of its zone.
+func (c *Controller) stillBehind(still func() bool) (zonePeer ports.HostID, manyHosts, behind bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if others := c.neighbours(); len(others) > 0 {
-		near = others[c.rng.IntN(len(others))]
+	if others := c.zonePeers(); len(others) > 0 {
+		zonePeer = others[c.rng.IntN(len(others))]
 	}
-	return near, c.many(), still()
+	return zonePeer, c.useRelays(), still()
 }
 
-// onChanges takes in what a watcher saw.
-func (c *Controller) onChanges(_ context.Context, from ports.HostID, s step) (struct{}, error) {
-	c.count.steps.Add(1)
+// onChanges applies changes sent by a watcher.
+func (c *Controller) onChanges(_ context.Context, from ports.HostID, s packedChanges) (struct{}, error) {
+	c.count.changes.Add(1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.merge(time.Now(), s.Value, from)
-	c.compare(s.Value, from)
+	c.checkDigest(s.Value, from)
 	return struct{}{}, nil
 }
 
-// compare has this host ask for what it lacks if its list is not what the sender's was
-// after a step. The lock is held.
+// checkDigest schedules a catch-up if this host's list of targets differs from the sender's
+// after the same changes. c.mu must be held.
 //
-// While changes keep coming the digest of a heartbeat can hardly ever be compared.
-func (c *Controller) compare(ch directory.Changes, from ports.HostID) {
+// While changes keep coming, the digest of a heartbeat is almost never comparable.
+func (c *Controller) checkDigest(ch directory.Changes, from ports.HostID) {
 	if ch.Digest != 0 && c.state.Newest() == ch.DigestAt && c.state.Digest() != ch.Digest {
-		c.checkLater(from, func() bool { return true })
+		c.scheduleCatchUp(from, func() bool { return true })
 	}
 }
 
-// onSync tells another host all that this one knows.
+// onSync replies with the state that another host lacks.
 func (c *Controller) onSync(_ context.Context, _ ports.HostID, req syncRequest) (syncReply, error) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard(req.Host)
-	c.hear(req.Version)
-	fresh := len(watchers.Fresh(now, c.beats)) > 0 || c.watch != nil && c.watch.storeOK()
+	c.noteHost(req.Host)
+	c.noteVersion(req.Version)
+	fresh := len(watchers.Fresh(now, c.heartbeats)) > 0 || c.watch != nil && c.watch.storeOK()
 	if !fresh || !c.state.HasTargets() || c.state.Config() == nil {
-		// At a start of all hosts the seeds are asked by all of them every 20 ms.
-		return syncReply{Changes: c.whole(now, req)}, nil
+		// Leave out the list of hosts: when all hosts start together, each asks the seeds every
+		// 20 ms.
+		return syncReply{Changes: c.snapshotFor(now, req)}, nil
 	}
-	if req.Refer && c.many() {
-		return syncReply{Fresh: true, Ask: c.referTo(req.Host)}, nil
+	if req.Refer && c.useRelays() {
+		return syncReply{Fresh: true, Referrals: c.referrals(req.Host)}, nil
 	}
 	return syncReply{
 		Fresh:   true,
-		Changes: c.whole(now, req),
+		Changes: c.snapshotFor(now, req),
 		Hosts:   peer.Pack(c.hostList()),
 	}, nil
 }
 
-// wholeStep is all that this host knows, as it was encoded for a host that knows nothing.
-type wholeStep struct {
+// encodedSnapshot is a snapshot encoded for hosts that have no state, with the state it was made
+// from.
+type encodedSnapshot struct {
 	version, digest uint64
 	evacuations     uint64
 	newest          directory.Revision
-	step            step
+	changes         packedChanges
 }
 
-// whole returns what a host lacks. Hundreds of hosts that start at once lack everything: that is
-// encoded once for all of them. The lock is held.
-func (c *Controller) whole(now time.Time, req syncRequest) step {
+// snapshotFor returns the state that a host lacks. Hundreds of hosts that start at once lack all
+// of it, so that snapshot is encoded once and reused. c.mu must be held.
+func (c *Controller) snapshotFor(now time.Time, req syncRequest) packedChanges {
 	if req.Version > 0 || slices.ContainsFunc(req.Buckets, func(b uint64) bool { return b != 0 }) || !c.expiry.IsZero() {
 		return peer.Pack(c.state.Whole(now, req.Version, req.Buckets))
 	}
-	is := wholeStep{
+	current := encodedSnapshot{
 		version: c.version(), digest: c.state.Digest(), newest: c.state.Newest(),
 		evacuations: c.state.Evacuations().Digest(),
 	}
-	have := c.wholeStep
-	if have != nil && have.version == is.version && have.digest == is.digest && have.newest == is.newest && have.evacuations == is.evacuations {
-		return have.step
+	cached := c.cachedSnapshot
+	if cached != nil && cached.version == current.version && cached.digest == current.digest && cached.newest == current.newest && cached.evacuations == current.evacuations {
+		return cached.changes
 	}
 	all := c.state.Whole(now, 0, nil)
 	packed, err := peer.PackOnce(all)
 	if err != nil {
-		c.deps.Log.Error("state not encoded", zap.Error(err))
+		c.deps.Log.Error("failed to encode snapshot", zap.Error(err))
 		return peer.Pack(all)
 	}
-	packed.Value = directory.Changes{} // what was encoded is all that is sent
-	is.step = packed
-	c.wholeStep = &is
+	packed.Value = directory.Changes{} // only the encoded form is sent
+	current.changes = packed
+	c.cachedSnapshot = &current
 	return packed
 }
 
-// referred is how many hosts one that knows nothing yet is referred to: the first that
-// answers tells it all, and some may be starting themselves.
-const referred = 4
+// maxReferrals is how many hosts a host without state is referred to: the first that replies
+// serves it, and some may themselves be starting.
+const maxReferrals = 4
 
-// referTo returns hosts of the asker's zone, this one last. The lock is held.
+// referrals returns hosts of the sender's zone, followed by this host. c.mu must be held.
 //
-// Were all hosts that start together to ask the seeds for all they know, the seeds' links would be
-// full of it.
-func (c *Controller) referTo(asker directory.Host) []ports.HostID {
+// If all hosts that start together fetched the whole state from the seeds, the seeds' links
+// would be saturated.
+func (c *Controller) referrals(asker directory.Host) []ports.HostID {
 	var ids []ports.HostID
 	for id, h := range c.hosts {
 		if h.Zone == asker.Zone && id != asker.ID() && id != c.self {
@@ -241,14 +242,14 @@
 		}
 	}
 	c.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	return append(ids[:min(referred, len(ids))], c.self)
+	return append(ids[:min(maxReferrals, len(ids))], c.self)
 }
 
-// syncResult tells whether a host was reached, whether it is up to date, and whom to ask in
-// its place.
+// syncResult says whether a host was reached, whether it is up to date, and which hosts it
+// referred this one to.
 type syncResult struct {
 	reached, fresh bool
-	ask            []ports.HostID
+	referrals      []ports.HostID
 }
 
 func (c *Controller) syncWithin(from ports.HostID, d time.Duration) syncResult {
@@ -257,7 +258,7 @@
 	return c.sync(ctx, from, false)
 }
 
-// sync asks a host for all it knows, or whom else to ask for it.
+// sync fetches the state that this host lacks from another host, or referrals to others.
 func (c *Controller) sync(ctx context.Context, from ports.HostID, refer bool) syncResult {
 	c.count.syncs.Add(1)
 	c.mu.Lock()
@@ -265,12 +266,12 @@
 	c.mu.Unlock()
 	reply, err := peer.Call[syncReply](ctx, c.deps.Link, from, kindSync, req)
 	if err != nil {
-		c.deps.Log.Debug("peer did not tell what it knows", zap.String("peer", string(from)), zap.Error(err))
+		c.deps.Log.Debug("failed to fetch state from peer", zap.String("peer", string(from)), zap.Error(err))
 		return syncResult{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.addHosts(reply.Hosts.Value...)
+	c.mergeHosts(reply.Hosts.Value...)
 	c.merge(time.Now(), reply.Changes.Value, from)
-	return syncResult{reached: true, fresh: reply.Fresh, ask: reply.Ask}
+	return syncResult{reached: true, fresh: reply.Fresh, referrals: reply.Referrals}
 }
--- a/controller/watch/publish.go
+++ b/controller/watch/publish.go
@@ -12,7 +12,7 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// publishConfig puts a configuration in force. The lock is held.
+// publishConfig puts a configuration into effect. c.mu must be held.
 func (c *Controller) publishConfig(old, next *routing.Config, from ports.HostID) {
 	directory.CheckForward(old, next)
 	c.deps.Board.Routes.Store(routing.NewTable(next, c.rng))
@@ -28,7 +28,8 @@
 		zap.Int("routes", len(next.Routes)), zap.String("from", string(from)))
 }
 
-// publishTargets puts the services whose targets have changed on the board. The lock is held.
+// publishTargets publishes the services whose targets have changed on the board. c.mu must be
+// held.
 func (c *Controller) publishTargets(now time.Time) {
 	changed, expiry := c.state.Changed(now)
 	c.expiry = expiry
@@ -44,7 +45,7 @@
 		}
 		for _, name := range changed {
 			key := blackboard.ServiceKey{Workspace: routing.Workspace, Service: name}
-			view.ByService[key] = c.listOf(now, name, old.ByService[key], all)
+			view.ByService[key] = c.boardTargets(now, name, old.ByService[key], all)
 			if len(view.ByService[key]) == 0 {
 				delete(view.ByService, key)
 			}
@@ -61,9 +62,9 @@
 	})
 }
 
-// listOf returns the targets of a service as the board shows them: those that have not changed,
-// if not all are to be made anew, as they are in the old list. Both are sorted. The lock is held.
-func (c *Controller) listOf(now time.Time, name string, old []blackboard.Target, all bool) []blackboard.Target {
+// boardTargets returns the targets of a service for the board. It reuses those of the old list
+// that have not changed, unless all is set. Both lists are sorted by ID. c.mu must be held.
+func (c *Controller) boardTargets(now time.Time, name string, old []blackboard.Target, all bool) []blackboard.Target {
 	list := make([]blackboard.Target, 0, c.state.Count(name))
 	for u, changed := range c.state.Show(name) {
 		for len(old) > 0 && old[0].ID < u.ID {
@@ -77,7 +78,7 @@
 			list = append(list, *before)
 			continue
 		}
-		t := target(now, u, before)
+		t := boardTarget(now, u, before)
 		t.Evacuated = c.state.Evacuations().Active(u.Zone)
 		t.ReturnedAt = c.state.Evacuations().EndedAt(u.Zone)
 		list = append(list, t)
@@ -85,9 +86,10 @@
 	return list
 }
 
-// target is a target as the board shows it; before is what it showed, or nil. A mark of leaving
-// that came from the target's own answer stays for that run of it: the record lags behind it.
-func target(now time.Time, u *directory.Usable, before *blackboard.Target) blackboard.Target {
+// boardTarget converts a target for the board; before is the published one, or nil. If the
+// target's own response marked it as leaving, the mark stays for that incarnation, because the
+// store lags behind the target.
+func boardTarget(now time.Time, u *directory.Usable, before *blackboard.Target) blackboard.Target {
 	t := blackboard.Target{
 		ID:          u.ID,
 		Incarnation: u.Incarnation,
@@ -108,40 +110,39 @@
 	return t
 }
 
-// maxLines is how many targets that a host learned of at once get a line each; with more,
-// as at a start, one line counts them.
-const maxLines = 20
+// maxTargetLines is how many targets learned at once are logged one by one; if there are more,
+// as at a start, a single line gives their number.
+const maxTargetLines = 20
 
-// linesPerSecond and lineBurst bound the lines about targets of one host: in a release of
-// thousands each host would write thousands.
+// linesPerSecond and lineBurst limit the log lines about targets: during a release of thousands
+// of targets each host would write thousands of lines.
 const (
 	linesPerSecond = 20
 	lineBurst      = 200
 )
 
-// logTargets tells of targets that leave or are gone: each changes what this
-// host believes.
-func (c *Controller) logTargets(ch, news directory.Changes, from ports.HostID) {
-	if ch.AllTargets && len(news.Targets) > maxLines {
-		c.deps.Log.Info("targets read", zap.Int("targets", len(news.Targets)),
+// logTargets logs targets that were listed, are leaving or are gone.
+func (c *Controller) logTargets(ch, applied directory.Changes, from ports.HostID) {
+	if ch.AllTargets && len(applied.Targets) > maxTargetLines {
+		c.deps.Log.Info("targets read", zap.Int("targets", len(applied.Targets)),
 			zap.Stringer("revision", ch.Revision), zap.String("from", string(from)))
 		return
 	}
-	for _, t := range news.Targets {
-		if !c.lines.Allow() {
+	for _, t := range applied.Targets {
+		if !c.logLimiter.Allow() {
 			c.count.linesDropped.Add(1)
 			continue
 		}
-		word := "target listed"
+		message := "target listed"
 		switch {
 		case t.Unreadable:
-			word = "target's entry names none"
+			message = "target entry unreadable"
 		case t.Removed:
-			word = "target gone"
+			message = "target gone"
 		case t.Draining:
-			word = "target leaving"
+			message = "target leaving"
 		}
-		c.deps.Log.Info(word, zap.String("target", string(ports.Run(t.ID, t.Incarnation))), zap.String("service", t.Service),
+		c.deps.Log.Info(message, zap.String("target", string(ports.Run(t.ID, t.Incarnation))), zap.String("service", t.Service),
 			zap.Stringer("revision", t.Revision), zap.Duration("hold", ch.Hold), zap.String("from", string(from)))
 	}
 }
--- a/controller/watch/random_test.go
+++ b/controller/watch/random_test.go
@@ -12,104 +12,105 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// history is one random run: faults and changes come in any order and overlap.
+// history is one random sequence of faults and changes, in any order and overlapping.
 type history struct {
 	*fleet
 	rng     *rand.Rand
 	version uint64
 	config  *routing.Config
-	// routes draws those of configurations, apart from rng.
+	// routes draws the routes of configurations, independently of rng.
 	routes *rand.Rand
-	// orders draws evacuations, apart from rng.
-	orders *rand.Rand
-	seen   map[*host]uint64
+	// evacuations draws evacuations, independently of rng.
+	evacuations *rand.Rand
+	versions    map[*host]uint64
 	// acceptedAt is when each version was accepted.
 	acceptedAt map[uint64]time.Time
-	next       int
-	// born is how often each target was started again under its name.
-	born map[int]ports.Incarnation
+	nextTarget int
+	// incarnations is how often each target was restarted under its name.
+	incarnations map[int]ports.Incarnation
 }
 
-// randomSeeds is how many histories a run of the tests plays.
+// randomSeeds is how many histories a test run plays.
 const randomSeeds = 25
 
-// Hosts are cut off, turned away, stopped and started again, the history is
-// dropped, and meanwhile the configuration and the targets change. No host may ever
-// go back to an older configuration, or deny a route that was added longer ago than the bound.
-// Zones are evacuated and taken back. Once the faults have ended for as long as a
-// take-over takes, every host must know exactly what the record says.
+// Hosts are cut off, rejected by the store, stopped and restarted, the store's history is
+// dropped, and meanwhile the configuration, the targets and the evacuations change. No host may
+// ever return to an older configuration, or deny a route that was added longer ago than the
+// bound. Once the faults have ended for as long as a takeover takes, every host's state must
+// equal the store's.
 func TestRandomHistories(t *testing.T) {
 	for seed := range uint64(randomSeeds) {
 		withFleet(t, 7, func(fl *fleet) {
 			h := &history{
-				fleet:      fl,
-				rng:        rand.New(rand.NewPCG(seed, 9)),
-				version:    1,
-				config:     config(1),
-				routes:     rand.New(rand.NewPCG(seed, 10)),
-				orders:     rand.New(rand.NewPCG(seed, 11)),
-				seen:       make(map[*host]uint64),
-				acceptedAt: make(map[uint64]time.Time),
-				next:       10,
-				born:       make(map[int]ports.Incarnation),
+				fleet:        fl,
+				rng:          rand.New(rand.NewPCG(seed, 9)),
+				version:      1,
+				config:       config(1),
+				routes:       rand.New(rand.NewPCG(seed, 10)),
+				evacuations:  rand.New(rand.NewPCG(seed, 11)),
+				versions:     make(map[*host]uint64),
+				acceptedAt:   make(map[uint64]time.Time),
+				nextTarget:   10,
+				incarnations: make(map[int]ports.Incarnation),
 			}
 			for range 60 {
 				h.step()
 				time.Sleep(time.Duration(h.rng.Int64N(int64(400 * time.Millisecond))))
-				h.checkForward(t, seed)
+				h.checkVersions(t, seed)
 				h.checkDenials(t, seed)
 			}
 			h.heal()
 			time.Sleep(returnHold + 4*time.Second)
-			h.checkForward(t, seed)
-			h.checkEqual(t, seed)
+			h.checkVersions(t, seed)
+			h.checkConverged(t, seed)
 		})
 	}
 }
 
-func (h *history) any() *host { return h.hosts[h.rng.IntN(len(h.hosts))] }
+func (h *history) anyHost() *host { return h.hosts[h.rng.IntN(len(h.hosts))] }
 
 func (h *history) step() {
 	switch h.rng.IntN(15) {
 	case 0, 1:
 		h.version++
-		h.config = h.anyRoutes(h.version)
+		h.config = h.randomConfig(h.version)
 		h.record.Configure(h.config)
 		h.acceptedAt[h.version] = time.Now()
 	case 2, 3:
-		h.record.Put(entryOf(h.next, false))
-		h.next++
+		h.record.Put(entryOf(h.nextTarget, false))
+		h.nextTarget++
 	case 4:
-		h.put(h.rng.IntN(h.next), true)
+		h.put(h.rng.IntN(h.nextTarget), true)
 	case 5:
-		h.record.Remove(targetID(h.rng.IntN(h.next)))
+		h.record.Remove(targetID(h.rng.IntN(h.nextTarget)))
 	case 6:
-		h.any().client.Set(record.Silent)
+		h.anyHost().client.Set(record.Silent)
 	case 7:
-		h.any().client.Set(record.Refuses)
+		h.anyHost().client.Set(record.Refuses)
 	case 8:
-		h.any().client.Set(record.Serves)
+		h.anyHost().client.Set(record.Serves)
 	case 9:
-		h.freeze(h.any())
+		h.isolate(h.anyHost())
 	case 10:
 		h.record.DropHistory()
 	case 11:
 		h.restart()
 	case 12:
-		h.loseOne()
+		h.loseOneChange()
 	case 13, 14:
-		h.restartTarget(h.rng.IntN(h.next))
+		h.restartTarget(h.rng.IntN(h.nextTarget))
 	}
-	if h.orders.IntN(4) == 0 {
-		h.order()
+	if h.evacuations.IntN(4) == 0 {
+		h.changeEvacuation()
 	}
 }
 
-// order evacuates a zone or takes it back, with the order at times lost to one host.
-func (h *history) order() {
-	zone := zone(h.orders.IntN(3))
-	to := h.hosts[h.orders.IntN(len(h.hosts))]
-	lost := h.orders.IntN(2) == 0
+// changeEvacuation starts or lifts an evacuation; the message about it is lost to one host half
+// of the time.
+func (h *history) changeEvacuation() {
+	zone := zone(h.evacuations.IntN(3))
+	to := h.hosts[h.evacuations.IntN(len(h.hosts))]
+	lost := h.evacuations.IntN(2) == 0
 	for _, w := range h.watching() {
 		if lost {
 			h.net.Cut(ports.HostID(w.addr), ports.HostID(to.addr))
@@ -129,58 +130,58 @@
 	}
 }
 
-// anyRoutes is a configuration in which names, and pairs of host and prefix, may stand twice.
-func (h *history) anyRoutes(version uint64) *routing.Config {
+// randomConfig returns a configuration that may repeat names and pairs of host and prefix.
+func (h *history) randomConfig(version uint64) *routing.Config {
 	var names []string
 	for range h.routes.IntN(4) {
 		names = append(names, []string{"", "r", "x"}[h.routes.IntN(3)])
 	}
-	return routed(version, time.Duration(1+h.routes.IntN(2))*time.Second, names...)
+	return configWithRoutes(version, time.Duration(1+h.routes.IntN(2))*time.Second, names...)
 }
 
-// put writes the entry of a target's present run.
+// put writes the entry of a target's current incarnation.
 func (h *history) put(i int, draining bool) {
 	e := entryOf(i, draining)
-	e.Incarnation += h.born[i]
+	e.Incarnation += h.incarnations[i]
 	h.record.Put(e)
 }
 
-// restartTarget has a target drain and start again under its name. At times a write of its
-// former run arrives after that, until the present one renews its entry.
+// restartTarget drains a target and restarts it under its name. Half of the time a write of the
+// previous incarnation arrives later and stands until the current one renews its entry.
 func (h *history) restartTarget(i int) {
 	h.put(i, true)
-	former := entryOf(i, true)
-	former.Incarnation += h.born[i]
-	h.born[i]++
+	previous := entryOf(i, true)
+	previous.Incarnation += h.incarnations[i]
+	h.incarnations[i]++
 	h.put(i, false)
 	if h.rng.IntN(2) == 0 {
-		h.record.Put(former)
+		h.record.Put(previous)
 		time.Sleep(time.Duration(h.rng.Int64N(int64(time.Second))))
 		h.put(i, false)
 	}
 }
 
-// loseOne has one host miss a change, and hear of the next.
-func (h *history) loseOne() {
-	to := h.any()
+// loseOneChange makes one host miss a change and receive the next.
+func (h *history) loseOneChange() {
+	to := h.anyHost()
 	for _, w := range h.watching() {
 		h.net.Cut(ports.HostID(w.addr), ports.HostID(to.addr))
 	}
-	h.put(h.rng.IntN(h.next), true)
+	h.put(h.rng.IntN(h.nextTarget), true)
 	time.Sleep(100 * time.Millisecond)
 	for _, w := range h.hosts {
 		h.net.Restore(ports.HostID(w.addr), ports.HostID(to.addr))
 	}
-	h.record.Put(entryOf(h.next, false))
-	h.next++
+	h.record.Put(entryOf(h.nextTarget, false))
+	h.nextTarget++
 }
 
-// restart replaces a host by one that starts anew.
+// restart replaces a host by a newly started one at its address.
 func (h *history) restart() {
 	i := h.rng.IntN(len(h.hosts))
 	old := h.hosts[i]
 	old.stop()
-	delete(h.seen, old)
+	delete(h.versions, old)
 	h.hosts = append(h.hosts[:i], h.hosts[i+1:]...)
 	for n := range 7 {
 		if addr(n) == old.addr {
@@ -196,42 +197,41 @@
 	}
 }
 
-func (h *history) checkForward(t *testing.T, seed uint64) {
+func (h *history) checkVersions(t *testing.T, seed uint64) {
 	for _, host := range h.hosts {
 		v := host.version()
-		assert.Check(t, v >= h.seen[host], "seed %d: %s went from %d to %d", seed, host.addr, h.seen[host], v)
-		h.seen[host] = v
+		assert.Check(t, v >= h.versions[host], "seed %d: %s went from %d to %d", seed, host.addr, h.versions[host], v)
+		h.versions[host] = v
 	}
 }
 
-// checkDenials checks that no host tells callers of a route that there is none once the
-// bound has passed since the configuration that added it was accepted. A host that denies no
-// route of one version denies none of those before it.
+// checkDenials checks that no host denies the newest route that was accepted longer ago than the
+// bound. A host that does not deny the route of one version denies none of earlier versions.
 func (h *history) checkDenials(t *testing.T, seed uint64) {
 	version := h.version
 	for version > 1 && time.Since(h.acceptedAt[version]) < bound {
 		version--
 	}
 	for _, host := range h.hosts {
-		assert.Check(t, !host.denies(added(version)), "seed %d: %s denies the route of version %d", seed, host.addr, version)
+		assert.Check(t, !host.denies(addedPrefix(version)), "seed %d: %s denies the route of version %d", seed, host.addr, version)
 	}
 }
 
-func (h *history) checkEqual(t *testing.T, seed uint64) {
+func (h *history) checkConverged(t *testing.T, seed uint64) {
 	listed := h.record.Targets()
 	for _, host := range h.hosts {
-		assert.Check(t, host.denies("/never/"), "seed %d: %s does not know that there is no such route", seed, host.addr)
+		assert.Check(t, host.denies("/never/"), "seed %d: %s does not deny a path that never existed", seed, host.addr)
 		assert.Check(t, host.version() == h.version, "seed %d: %s has version %d of %d", seed, host.addr, host.version(), h.version)
-		assert.Check(t, host.goesBy(h.config), "seed %d: %s goes by other routes", seed, host.addr)
+		assert.Check(t, host.usesConfig(h.config), "seed %d: %s uses other routes", seed, host.addr)
 		for i := range 3 {
 			_, evacuated := host.board.Evacuations.Load().Zones[zone(i)]
 			want := h.record.Evacuated(zone(i))
-			assert.Check(t, evacuated == want, "seed %d: %s takes %s for evacuated: %t", seed, host.addr, zone(i), evacuated)
+			assert.Check(t, evacuated == want, "seed %d: %s: zone %s evacuated: %t", seed, host.addr, zone(i), evacuated)
 		}
-		for i := range h.next {
+		for i := range h.nextTarget {
 			e, ok := listed[targetID(i)]
 			want := ok && !e.Draining
-			assert.Check(t, host.takes(i) == want, "seed %d: %s takes t%02d: %t", seed, host.addr, i, !want)
+			assert.Check(t, host.routesTo(i) == want, "seed %d: %s routes to t%02d: %t", seed, host.addr, i, !want)
 		}
 	}
 }
--- a/controller/watch/scale_test.go
+++ b/controller/watch/scale_test.go
@@ -15,18 +15,20 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// scaleHosts is 100 in the check. By hand with 300, which takes two minutes.
-var scaleHosts = flag.Int("scale-hosts", 100, "hosts of the tests of large changes")
+// scaleHosts is the number of hosts of the tests with slow links; with 300 they take two
+// minutes.
+var scaleHosts = flag.Int("scale-hosts", 100, "hosts in the tests with slow links")
 
 const (
-	// slowLink is the rate of each host's link in bytes a second, 10 Mbit/s.
+	// slowLink is the rate of each host's link in bytes per second, 10 Mbit/s.
 	slowLink = 10e6 / 8
-	// targetsEach is how many targets there are for each host.
+	// targetsEach is the number of targets per host.
 	targetsEach = 10
 )
 
-// bigConfig is a configuration of n routes; one in seven has a timeout of its version's.
-func bigConfig(version uint64, n int) *routing.Config {
+// largeConfig returns a configuration of n routes; one in seven has a timeout that depends on
+// the version.
+func largeConfig(version uint64, n int) *routing.Config {
 	rng := rand.New(rand.NewPCG(1, 1))
 	c := config(version)
 	for i := range n {
@@ -59,8 +61,8 @@
 	tr.all += size
 }
 
-// take returns the bytes since the last call, of all hosts and of the busiest.
-func (tr *traffic) take() (all, busiest int) {
+// reset returns the bytes since the last call, of all hosts and of the busiest one.
+func (tr *traffic) reset() (all, busiest int) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	for _, n := range tr.hosts {
@@ -71,17 +73,17 @@
 	return all, busiest
 }
 
-// withSlowLinks runs f with hosts on links of 10 Mbit/s and ten targets for each of them.
+// withSlowLinks runs f with hosts on links of 10 Mbit/s and targetsEach targets per host.
 func withSlowLinks(t *testing.T, f func(fl *fleet, tr *traffic)) {
 	t.Helper()
 	tr := &traffic{hosts: make(map[ports.HostID]int)}
 	setUp := func(fl *fleet) {
 		fl.net.Rate = func(ports.HostID) float64 { return slowLink }
 		fl.net.Sent = tr.sent
-		fl.record.Configure(bigConfig(1, 100))
+		fl.record.Configure(largeConfig(1, 100))
 	}
 	withNetwork(t, *scaleHosts, setUp, func(fl *fleet) {
-		tr.take()
+		tr.reset()
 		for i := 10; i < targetsEach**scaleHosts; i++ {
 			fl.record.Put(entryOf(i, false))
 			if i%targetsEach == 0 {
@@ -92,35 +94,35 @@
 	})
 }
 
-// All targets start within a second, and each change of the list goes to every host. With
-// changes sent whole to each host of a zone the links were full for 3.5 s at 100 hosts,
-// 89 MB; now it is 0.1 s and 1.2 MB. At 300 hosts it is 0.1 s and 11 MB.
+// All targets start within a second, and each change of the list goes to every host. Guards
+// against saturating the links for seconds, as when each host of a zone is sent every change in
+// full.
 func TestManyTargetsAreListedOverSlowLinks(t *testing.T) {
 	withSlowLinks(t, func(fl *fleet, tr *traffic) {
 		last := targetsEach**scaleHosts - 1
-		took := fl.await(nil, func(h *host) bool { return h.takes(last) })
-		all, busiest := tr.take()
+		took := fl.await(nil, func(h *host) bool { return h.routesTo(last) })
+		all, busiest := tr.reset()
 		t.Logf("%d targets known after %s, %d kB, busiest host %d kB", last+1, took, all>>10, busiest>>10)
 		assert.Check(t, took < 500*time.Millisecond, "known after %s", took)
 		assert.Check(t, all < 40<<10**scaleHosts, "%d bytes", all)
 	})
 }
 
-// The operator adds 1,400 routes, and goes on with a change of 200 of them three times a
-// second. Every host must have each in force within two seconds. Sent whole by one host
-// of a zone to all others the routes took 6.5 s at 100 hosts; now it is 0.3 s, also at 300.
+// A configuration adds 1,400 routes, then 200 of them change three times a second. Every host
+// must put each version into effect within two seconds, which fails if one host of a zone sends
+// the routes in full to all others there.
 func TestLargeConfigurationsReachAllOverSlowLinks(t *testing.T) {
 	withSlowLinks(t, func(fl *fleet, tr *traffic) {
 		time.Sleep(5 * time.Second)
-		tr.take()
-		fl.record.Configure(bigConfig(2, 1500))
+		tr.reset()
+		fl.record.Configure(largeConfig(2, 1500))
 		took := fl.await(nil, func(h *host) bool { return h.version() == 2 })
-		all, busiest := tr.take()
-		t.Logf("1400 routes more known after %s, %d kB, busiest host %d kB", took, all>>10, busiest>>10)
+		all, busiest := tr.reset()
+		t.Logf("1400 added routes known after %s, %d kB, busiest host %d kB", took, all>>10, busiest>>10)
 		assert.Check(t, took < time.Second, "in force after %s", took)
-		assert.Check(t, busiest < 1<<20, "%d bytes of one host", busiest)
+		assert.Check(t, busiest < 1<<20, "%d bytes at one host", busiest)
 		for v := range uint64(12) {
-			fl.record.Configure(bigConfig(3+v, 1500))
+			fl.record.Configure(largeConfig(3+v, 1500))
 			time.Sleep(330 * time.Millisecond)
 			assert.Check(t, fl.hosts[1].version() >= 2+v)
 		}
@@ -129,11 +131,11 @@
 	})
 }
 
-// Half of the hosts lose power and start again while the others serve. Each must know
-// everything within half a second, and none may be asked by all of them.
+// Half of the hosts lose power and restart while the others serve. Each must have the whole
+// state within half a second, and no host may have to serve all of them.
 func TestHalfTheHostsStartAgainOverSlowLinks(t *testing.T) {
 	withSlowLinks(t, func(fl *fleet, tr *traffic) {
-		fl.record.Configure(bigConfig(2, 1500))
+		fl.record.Configure(largeConfig(2, 1500))
 		time.Sleep(5 * time.Second)
 		half := len(fl.hosts) / 2
 		for _, h := range fl.hosts[:half] {
@@ -141,36 +143,36 @@
 		}
 		fl.hosts = fl.hosts[half:]
 		time.Sleep(time.Second)
-		tr.take()
+		tr.reset()
 		for i := range half {
 			fl.start(i, true)
 		}
 		last := targetsEach**scaleHosts - 1
-		took := fl.await(nil, func(h *host) bool { return h.version() == 2 && h.takes(last) })
-		all, busiest := tr.take()
+		took := fl.await(nil, func(h *host) bool { return h.version() == 2 && h.routesTo(last) })
+		all, busiest := tr.reset()
 		t.Logf("%d hosts back after %s, %d kB, busiest host %d kB", half, took, all>>10, busiest>>10)
 		assert.Check(t, took < 500*time.Millisecond, "known after %s", took)
 	})
 }
 
-// All hosts of an availability zone but the seeds are dark, and nobody has noticed yet. A
-// host that starts there is referred to them by the seeds; it must not wait for each in turn,
-// since callers wait for it.
-func TestStartIsReferredToHostsThatAreDark(t *testing.T) {
+// All hosts of an availability zone except the seeds are unreachable, and nobody has noticed
+// yet. A host that starts there is referred to them by the seeds; it must not wait for each in
+// turn, since callers are waiting.
+func TestStartIsReferredToUnreachableHosts(t *testing.T) {
 	withFleet(t, 40, func(fl *fleet) {
 		const next = 50
-		begun := time.Now()
+		start := time.Now()
 		h := fl.start(next, true)
-		for i, dark := range fl.hosts {
-			if i >= len(fl.seeds) && dark != h && zone(i) == zone(next) {
-				fl.freeze(dark)
+		for i, other := range fl.hosts {
+			if i >= len(fl.seeds) && other != h && zone(i) == zone(next) {
+				fl.isolate(other)
 			}
 		}
-		for !h.takes(0) && time.Since(begun) < 5*time.Second {
+		for !h.routesTo(0) && time.Since(start) < 5*time.Second {
 			time.Sleep(time.Millisecond)
 		}
-		took := time.Since(begun)
-		t.Logf("knows all after %s", took)
+		took := time.Since(start)
+		t.Logf("state complete after %s", took)
 		assert.Check(t, took < 600*time.Millisecond)
 	})
 }
--- a/controller/watch/start_test.go
+++ b/controller/watch/start_test.go
@@ -12,19 +12,19 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// startHosts is 150 in the check. By hand with 984.
+// The hosts that start together; larger fleets, such as 984, are tried by hand.
 var (
-	startHosts   = flag.Int("start-hosts", 150, "hosts of the tests of common starts")
-	startTargets = flag.Int("start-targets", 0, "targets of the tests of common starts, beside ten")
+	startHosts   = flag.Int("start-hosts", 150, "hosts that start together")
+	startTargets = flag.Int("start-targets", 0, "additional targets in the test of a common start")
 )
 
-// byKind counts the bytes that each host sends, by kind of message.
-type byKind struct {
+// sentByKind counts the bytes that each host sends, by kind of message.
+type sentByKind struct {
 	mu   sync.Mutex
 	sent map[ports.HostID]map[peer.Kind]int
 }
 
-func (b *byKind) add(from, _ peer.HostID, kind peer.Kind, size int) {
+func (b *sentByKind) add(from, _ peer.HostID, kind peer.Kind, size int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.sent[from] == nil {
@@ -33,8 +33,8 @@
 	b.sent[from][kind] += size
 }
 
-// busiest returns what the host sent that sent most, and how much that was.
-func (b *byKind) busiest() (kinds map[peer.Kind]int, most int) {
+// busiest returns what the host that sent most has sent, by kind and in total.
+func (b *sentByKind) busiest() (kinds map[peer.Kind]int, most int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, sent := range b.sent {
@@ -49,14 +49,14 @@
 	return kinds, most
 }
 
-// maxStartBytes is what a host may send, for each host that there is, while all start together, in
-// bytes: twice the list of hosts.
+// maxStartBytes bounds what a host may send while all start together, in bytes per pair of
+// hosts: twice the list of hosts.
 const maxStartBytes = 200
 
-// All hosts start together, and each learns of the others one after the other. None may be told by
-// all of them whom they know, again and again: its link and its memory would be full of it.
-func TestStartTellsNobodyEverything(t *testing.T) {
-	b := &byKind{sent: make(map[ports.HostID]map[peer.Kind]int)}
+// Guards against saturating a host's link and memory when all hosts start together and learn of
+// each other one by one: none may be sent the list of hosts by all others again and again.
+func TestCommonStartKeepsTrafficPerHostBounded(t *testing.T) {
+	b := &sentByKind{sent: make(map[ports.HostID]map[peer.Kind]int)}
 	setUp := func(fl *fleet) {
 		fl.net.Sent = b.add
 		for i := range *startTargets {
@@ -73,7 +73,7 @@
 				incomplete++
 			}
 		}
-		assert.Check(t, incomplete == 0, "%d hosts do not know all", incomplete)
+		assert.Check(t, incomplete == 0, "%d hosts do not know all others", incomplete)
 		assert.Check(t, most <= maxStartBytes**startHosts**startHosts, "%d bytes", most)
 	})
 }
--- a/controller/watch/store.go
+++ b/controller/watch/store.go
@@ -15,61 +15,59 @@
 )
 
 const (
-	// gather is how long a watcher waits after news before it asks for more. News
-	// come in series, as when targets are replaced one after the other, and each
-	// answer is a call that is paid for. It is a twentieth of the time in which a
-	// leaving target must be known.
-	gather = 100 * time.Millisecond
-	// secondAfter is how long the second watcher leaves it to the first to pass a
-	// change on. It takes in what the first passed on, and then has nothing to add:
-	// every host gets a change once and not twice. Further watchers, of which there may
-	// be several for a moment, leave it to those before them; maxRank bounds their wait.
-	secondAfter = 60 * time.Millisecond
-	maxRank     = 5
-	// retryPause is the time until the first further try while the store fails a
-	// watcher; it doubles up to maxRetryPause. Calls that are refused are paid for,
-	// too, and an outage lasts seconds.
+	// gatherDelay is how long a watcher waits after a change before it asks for more. Changes
+	// come in series, as when targets are replaced one after another, and each answer is a call
+	// that is paid for. It is a twentieth of the time within which a leaving target must be
+	// known.
+	gatherDelay = 100 * time.Millisecond
+	// rankDelay is how long the second watcher leaves it to the first to forward a change. It
+	// merges what the first one forwarded and then has nothing to add, so that every host gets a
+	// change once and not twice. Further watchers, of which there may briefly be several, wait
+	// for all before them; maxRank bounds their wait.
+	rankDelay = 60 * time.Millisecond
+	maxRank   = 5
+	// retryPause is the delay before a watcher's first retry of a failed call; it doubles up to
+	// maxRetryPause. Refused calls are paid for too, and an outage lasts seconds.
 	retryPause    = 100 * time.Millisecond
 	maxRetryPause = 400 * time.Millisecond
-	// returnHold is how long after the store's return targets that it dropped
-	// meanwhile are still used: those that live are listed again within about
-	// 2 s of its return.
+	// returnHold is how long after an outage of the store the targets that it dropped meanwhile
+	// are still used: those that are alive are listed again within about 2 s of its return.
 	returnHold = 2200 * time.Millisecond
-	// suspectHold is that time on the word of others alone, suspectFor how long
-	// such a word counts.
+	// suspectHold replaces returnHold when only other hosts report that the store fails them;
+	// suspectFor is how long such a report counts.
 	suspectHold = 700 * time.Millisecond
 	suspectFor  = 3 * time.Second
-	// lapseAfter is how long the store must have been out for entries to run out: they last
-	// for three renewals of 1.5 s, the first of which may have come right before. It leaves
-	// 0.1 s for heartbeats on their way.
-	lapseAfter = 2900 * time.Millisecond
+	// minOutage is the shortest outage of the store after which entries expire: they last for
+	// three renewals of 1.5 s, the first of which may have come right before the outage. It
+	// leaves 0.1 s for heartbeats in transit.
+	minOutage = 2900 * time.Millisecond
 )
 
-// watching is this host's watch of the store.
-type watching struct {
+// storeWatch is this host's watch of the store.
+type storeWatch struct {
 	cancel context.CancelFunc
-	// lastOK is when the store last answered each topic, in nanoseconds since
-	// started; 0 is never.
+	// lastOK is when the store last answered for each topic, in nanoseconds since started; 0 if
+	// it never did.
 	lastOK [directory.Topics]atomic.Int64
 	// failing is set for topics whose last call failed.
 	failing [directory.Topics]atomic.Bool
 	started time.Time
-	// wait is the longest that the store may hold a watch that is under way.
+	// wait is the longest time for which the store may hold the watch in progress, in
+	// nanoseconds.
 	wait atomic.Int64
-	// beatAt is when the last heartbeat was sent, sweptAt when hosts that are gone were
-	// last looked for.
-	beatAt  time.Time
-	sweptAt time.Time
-	// configAt is when the store certainly had no configuration newer than the one at hand;
-	// the zero time if that is not known.
+	// heartbeatAt is when the last heartbeat was sent, sweptAt when unreachable hosts were last
+	// looked for.
+	heartbeatAt time.Time
+	sweptAt     time.Time
+	// configAt is a time at which the store certainly had no configuration newer than the
+	// current one; zero if none is known.
 	configAt time.Time
-	// readAgainAt is when the configuration is to be read whole again; the zero time if it is
-	// not.
-	readAgainAt time.Time
+	// rereadAt is when to read the configuration in full again; zero if that is not needed.
+	rereadAt time.Time
 }
 
-// storeOK reports whether the store serves this host.
-func (w *watching) storeOK() bool {
+// storeOK reports whether the store currently serves this host.
+func (w *storeWatch) storeOK() bool {
 	for t := range directory.Topics {
 		if w.failing[t].Load() || w.lastOK[t].Load() == 0 {
 			return false
@@ -78,11 +76,11 @@
 	return true
 }
 
-// serves reports whether the store ever served this watch.
-func (w *watching) serves() bool { return w.lastOK[0].Load() > 0 && w.lastOK[1].Load() > 0 }
+// serves reports whether the store has served this watch at all, for both topics.
+func (w *storeWatch) serves() bool { return w.lastOK[0].Load() > 0 && w.lastOK[1].Load() > 0 }
 
 // storeAge is the age of the older of the topics' last answers.
-func (w *watching) storeAge(now time.Time) time.Duration {
+func (w *storeWatch) storeAge(now time.Time) time.Duration {
 	oldest := w.lastOK[0].Load()
 	for t := range directory.Topics {
 		oldest = min(oldest, w.lastOK[t].Load())
@@ -90,18 +88,18 @@
 	return now.Sub(w.started) - time.Duration(oldest)
 }
 
-// startWatching begins to watch all topics. The lock is held.
+// startWatching starts watching all topics. c.mu must be held.
 func (c *Controller) startWatching(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &watching{cancel: cancel, started: time.Now()}
+	w := &storeWatch{cancel: cancel, started: time.Now()}
 	c.watch = w
-	c.watches.Store(true)
+	c.isWatching.Store(true)
 	c.count.takeovers.Add(1)
-	// Whoever watches has to know all hosts, to be heard by them; the seeds know
-	// every host that has started.
+	// A watcher has to know all hosts so that its heartbeats reach them; the seeds know every
+	// host that has started.
 	for _, addr := range c.deps.Seeds {
 		if addr != c.deps.Self.Addr {
-			c.tellHosts(directory.Host{Addr: addr}.ID())
+			c.exchangeHostsWith(directory.Host{Addr: addr}.ID())
 		}
 	}
 	for t := range directory.Topics {
@@ -109,47 +107,47 @@
 	}
 }
 
-// stopWatching ends the watch at the end of Run.
-func (c *Controller) stopWatching(why string) {
+// stopWatching ends the watch, if there is one, when Run returns.
+func (c *Controller) stopWatching(reason string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.watch != nil {
-		c.endWatching(why)
+		c.endWatching(reason)
 	}
 }
 
-// endWatching ends the watch. A try that the store did not serve is not logged: all
-// hosts make them for as long as it is out. The lock is held.
-func (c *Controller) endWatching(why string) {
+// endWatching ends the watch. An attempt that the store did not serve is not logged: all hosts
+// keep making them while it is down. c.mu must be held.
+func (c *Controller) endWatching(reason string) {
 	if c.watch.serves() {
-		c.deps.Log.Info("no longer watching the store", zap.String("why", why))
+		c.deps.Log.Info("no longer watching the store", zap.String("why", reason))
 	}
 	c.watch.cancel()
 	c.watch = nil
-	c.watches.Store(false)
+	c.isWatching.Store(false)
 }
 
 // watchTopic follows one topic until ctx ends.
-func (c *Controller) watchTopic(ctx context.Context, w *watching, t directory.Topic) {
+func (c *Controller) watchTopic(ctx context.Context, w *storeWatch, t directory.Topic) {
 	var after directory.Revision
 	pause := retryPause
 	for ctx.Err() == nil {
 		asked := time.Now()
-		allowance := c.patience.allowance(asked)
-		slow := c.tellIfSlow(w, t)
-		ch, err := c.ask(ctx, w, t, after, allowance)
+		timeout := c.timeout.next(asked)
+		slow := c.reportIfSlow(w, t)
+		ch, err := c.fetch(ctx, w, t, after, timeout)
 		slow.Stop()
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			if errors.Is(err, directory.ErrHistoryGone) {
-				c.deps.Log.Warn("history of the store is gone, reading whole", zap.Stringer("topic", t))
+				c.deps.Log.Warn("store no longer has the history, reading in full", zap.Stringer("topic", t))
 				after = 0
 				continue
 			}
 			if errors.Is(err, context.DeadlineExceeded) {
-				c.patience.ranOut(time.Now(), allowance)
+				c.timeout.timedOut(time.Now(), timeout)
 			}
 			c.storeFailed(w, t, asked, err)
 			if !ctxtime.Sleep(ctx, pause) {
@@ -159,99 +157,98 @@
 			continue
 		}
 		pause = retryPause
-		if time.Since(asked) < firstAllowance {
-			c.patience.answeredSoon()
+		if time.Since(asked) < baseTimeout {
+			c.timeout.reset()
 		}
 		after = ch.Revision
 		now := time.Now()
-		if later := time.Duration(min(c.rank(), maxRank)) * secondAfter; !ch.Empty() && !ctxtime.Sleep(ctx, later) {
+		if delay := time.Duration(min(c.rank(), maxRank)) * rankDelay; !ch.Empty() && !ctxtime.Sleep(ctx, delay) {
 			return
 		}
-		c.storeAnswered(w, t, ch, certainAt(asked, now, ch))
-		if !ch.Empty() && !ctxtime.Sleep(ctx, gather) {
+		c.storeAnswered(w, t, ch, validAt(asked, now, ch))
+		if !ch.Empty() && !ctxtime.Sleep(ctx, gatherDelay) {
 			return
 		}
 	}
 }
 
-// rank is how many other watchers there are whose turn to pass a change on comes before
-// this host's.
+// rank is the number of other watchers that forward changes before this host.
 func (c *Controller) rank() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return watchers.Rank(c.self, watchers.Fresh(time.Now(), c.beats))
+	return watchers.Rank(c.self, watchers.Fresh(time.Now(), c.heartbeats))
 }
 
-// ask makes one call: a reading of the whole topic, or a watch from where the
-// last one ended.
-func (c *Controller) ask(ctx context.Context, w *watching, t directory.Topic, after directory.Revision, allowance time.Duration) (directory.Changes, error) {
+// fetch makes one call to the store: a full read of the topic, or a watch that continues where
+// the last call ended.
+func (c *Controller) fetch(ctx context.Context, w *storeWatch, t directory.Topic, after directory.Revision, timeout time.Duration) (directory.Changes, error) {
 	c.count.calls.Add(1)
 	if after == 0 {
-		return c.deps.Source.Read(ctx, t, allowance)
+		return c.deps.Source.Read(ctx, t, timeout)
 	}
 	wait := watchers.Wait
 	if c.rank() > 0 {
 		wait = watchers.SecondWait
 	}
-	if left, again := c.readAgain(w, t); again {
+	if left, scheduled := c.rereadIn(w, t); scheduled {
 		if left <= 0 {
-			return c.deps.Source.Read(ctx, t, allowance)
+			return c.deps.Source.Read(ctx, t, timeout)
 		}
 		wait = min(wait, left)
 	}
 	w.wait.Store(int64(wait))
-	return c.deps.Source.Watch(ctx, t, after, wait, allowance)
+	return c.deps.Source.Watch(ctx, t, after, wait, timeout)
 }
 
-// tellIfSlow has a try to take over tell the others that the store does not serve it, once
-// firstAllowance has passed, while it goes on waiting: were they told only when it gives up,
+// reportIfSlow tells the other hosts, once baseTimeout has passed, that the store does not serve
+// this host's attempt to watch, while the attempt goes on: if they heard only when it gives up,
 // more of them would try meanwhile.
-func (c *Controller) tellIfSlow(w *watching, t directory.Topic) *time.Timer {
-	return time.AfterFunc(firstAllowance, func() {
+func (c *Controller) reportIfSlow(w *storeWatch, t directory.Topic) *time.Timer {
+	return time.AfterFunc(baseTimeout, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.watch == w && w.lastOK[t].Load() == 0 {
-			c.tellRefused(time.Now())
+			c.reportRefused(time.Now())
 		}
 	})
 }
 
-// tellRefused tells all hosts that the store does not serve this one. The lock is held.
-func (c *Controller) tellRefused(now time.Time) {
-	c.refused[c.self] = now
-	c.tellAll(kindRefused, refused{})
+// reportRefused tells all hosts that the store does not serve this one. c.mu must be held.
+func (c *Controller) reportRefused(now time.Time) {
+	c.refusedAt[c.self] = now
+	c.broadcast(kindRefused, refused{})
 }
 
-// storeFailed notes a call that the store did not serve. A host that only tried
-// to take over gives up; a watcher goes on and says so to the others.
-func (c *Controller) storeFailed(w *watching, t directory.Topic, asked time.Time, err error) {
+// storeFailed handles a failed call to the store. A host that was only trying to take over gives
+// up; a watcher carries on and tells the others.
+func (c *Controller) storeFailed(w *storeWatch, t directory.Topic, asked time.Time, err error) {
 	c.count.failed.Add(1)
 	first := !w.failing[t].Swap(true)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.storeLost {
+	if !c.storeFailing {
 		c.deps.Log.Warn("store lost", zap.Stringer("topic", t), zap.Duration("took", time.Since(asked)), zap.Error(err))
 	}
-	c.storeLost = true
+	c.storeFailing = true
 	if c.watch != w {
 		return
 	}
 	if w.lastOK[t].Load() == 0 {
 		now := time.Now()
-		c.tellRefused(now)
+		c.reportRefused(now)
 		c.decider.Failed(now, c.view())
-		c.endWatching("store fails this host")
+		c.endWatching("store does not serve this host")
 		c.wakeUp()
 		return
 	}
 	if first {
-		c.beatNow(time.Now())
+		c.heartbeatNow(time.Now())
 	}
 }
 
-// storeAnswered takes in an answer, which holds for a moment, and passes what is new on to all
-// hosts.
-func (c *Controller) storeAnswered(w *watching, t directory.Topic, ch directory.Changes, at time.Time) {
+// storeAnswered merges an answer from the store, which was current at a time, and forwards what
+// was new to all hosts.
+func (c *Controller) storeAnswered(w *storeWatch, t directory.Topic, ch directory.Changes, at time.Time) {
 	now := time.Now()
 	regained := w.failing[t].Swap(false)
 	first := w.lastOK[t].Swap(int64(now.Sub(w.started))) == 0
@@ -264,20 +261,20 @@
 	if t == directory.TopicTargets {
 		c.noteOutage(now)
 	}
-	if c.storeLost {
+	if c.storeFailing {
 		c.deps.Log.Info("store regained", zap.Stringer("topic", t))
 	}
 	if first && w.serves() {
 		c.deps.Log.Info("watching the store", zap.Int("hosts", len(c.hosts)))
 	}
-	c.noteCopy(now, ch)
-	c.keepOrders(now, w, &ch)
+	c.noteRestore(now, ch)
+	c.deferEvacuationEnds(now, w, &ch)
 	ch.Hold = c.hold(now)
-	had := c.state.Config()
+	previous := c.state.Config()
 	hadTargets := c.state.HasTargets()
-	var news directory.Changes
+	var applied directory.Changes
 	if !ch.Empty() {
-		news = c.merge(now, ch, c.self)
+		applied = c.merge(now, ch, c.self)
 	}
 	if t == directory.TopicConfig {
 		c.noteConfig(w, ch, at)
@@ -285,59 +282,60 @@
 	if t == directory.TopicTargets {
 		c.state.Advance(ch.Revision)
 		if !hadTargets {
-			news = ch // the others may know none yet, too
+			applied = ch // the other hosts may not have the list yet either
 		}
 	}
-	if !news.Empty() {
-		news.Digest, news.DigestAt = c.state.Digest(), c.state.Newest()
-		c.pass(shorter(news, had))
+	if !applied.Empty() {
+		applied.Digest, applied.DigestAt = c.state.Digest(), c.state.Newest()
+		c.forward(withDelta(applied, previous))
 	}
 	if (first || regained) && w.storeOK() {
-		c.beatNow(now)
+		c.heartbeatNow(now)
 	}
 }
 
-// shorter puts a delta in place of a configuration if it is known what went before.
-func shorter(ch directory.Changes, had *routing.Config) directory.Changes {
-	if had == nil || ch.Config == nil || ch.Config.Version <= had.Version {
+// withDelta replaces a configuration by its difference to the previous one, if that is known.
+func withDelta(ch directory.Changes, previous *routing.Config) directory.Changes {
+	if previous == nil || ch.Config == nil || ch.Config.Version <= previous.Version {
 		return ch
 	}
-	d := routing.Diff(had, ch.Config)
+	d := routing.Diff(previous, ch.Config)
 	ch.Config, ch.Delta = nil, &d
 	return ch
 }
 
-// outageHold is how long targets that went are still used since the store was out. The lock is
-// held.
+// outageHold is for how much longer removed targets are used because the store was down. c.mu
+// must be held.
 func (c *Controller) outageHold(now time.Time) time.Duration {
 	return max(0, returnHold-now.Sub(c.outageEnd))
 }
 
-// noteOutage takes in that the store told some host of targets at a moment: if it had told none for
-// long, it was out until then, though it may have told of configurations meanwhile. A host whose own
-// link is full misses the store for less, and what is removed then is meant. The lock is held.
+// noteOutage records that the store answered some host about targets at a time: if it had
+// answered none for minOutage, it was down until then, although it may have answered about the
+// configuration meanwhile. A host whose own link is saturated misses the store for a shorter
+// time, and a removal in that time is genuine. c.mu must be held.
 func (c *Controller) noteOutage(at time.Time) {
-	if at.Sub(c.servedAt) >= lapseAfter {
+	if at.Sub(c.targetsServedAt) >= minOutage {
 		c.outageEnd = at
 	}
-	if at.After(c.servedAt) {
-		c.servedAt = at
+	if at.After(c.targetsServedAt) {
+		c.targetsServedAt = at
 	}
 }
 
-// hold returns how long targets that went from the record without a drain are
-// still to be used. The lock is held.
+// hold returns for how long targets that were removed from the store without draining are still
+// used. c.mu must be held.
 //
-// The store may just be back, after it dropped the entries of targets that could
-// not renew them. If this host only heard that the store fails others, the store may
-// as well turn those away and be well: then a removal is meant, and there is no more
-// than suspectHold left of the time in which it must be heeded. If the store was out
-// for all, those others say so themselves as soon as it serves them again, and the
-// time is extended.
+// The store may have just returned from an outage in which it dropped the entries of targets
+// that could not renew them. If this host only heard that the store fails others, the store may
+// equally be healthy and reject just those hosts: then the removal is genuine, and no more than
+// suspectHold is left of the time within which it must take effect. If the store was down for
+// all hosts, those others report so themselves once it serves them again, and the hold is
+// extended.
 func (c *Controller) hold(now time.Time) time.Duration {
-	c.storeLost = false
+	c.storeFailing = false
 	hold := c.outageHold(now)
-	for _, b := range c.beats {
+	for _, b := range c.heartbeats {
 		if !b.StoreOK && now.Sub(b.Heard) < suspectFor {
 			hold = max(hold, suspectHold)
 		}
--- a/controller/watch/watch.go
+++ b/controller/watch/watch.go
@@ -1,7 +1,14 @@
-// Package watch keeps what this host knows of the platform's record up to date.
-// A few hosts watch the platform's store and pass every change on to all others;
-// policy/watchers decides which. A host that starts asks another host for all it
-// knows, and reads the store itself only if no other can tell.
+// Package watch keeps this host's copy of the platform's state up to date: the routing
+// configuration, the zone evacuations, the targets and the list of entry hosts.
+//
+// A few hosts, the watchers, long-poll the platform's store and forward every change to all
+// other hosts; package policy/watchers decides which hosts watch. A watcher's heartbeat carries
+// versions and digests of its state, so that a host that missed a change notices and fetches the
+// difference. A host that starts fetches the state from a peer and reads the store only if no
+// peer can serve it.
+//
+// State travels as directory.Changes and is merged by directory.State; the result is published
+// on the blackboard.
 package watch
 
 import (
@@ -23,112 +30,119 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// PeerSetter learns the addresses of the other hosts; peer.Node is one.
+// PeerSetter receives the addresses of the other hosts; peer.Node implements it.
 type PeerSetter interface {
 	SetPeers(hosts []ports.Host)
 }
 
-// Reach tells how long a host could not be reached though messages were sent to it;
-// peer.Node is one.
-type Reach interface {
+// Reachability reports for how long messages to a host have failed to reach it; peer.Node
+// implements it.
+type Reachability interface {
 	UnreachableFor(id ports.HostID) time.Duration
 }
 
-// Deps is what a Controller works with.
+// Deps are the dependencies and settings of a Controller.
 type Deps struct {
 	Self   directory.Host
 	Region string
 	// Seeds are peer addresses of other hosts; some may be stale.
 	Seeds []string
-	// UnderLoad has a start read the store if no seed knows at once, since callers
-	// wait already. Otherwise the seeds have time to read it for all.
+	// UnderLoad is set for a start while callers are already waiting: the host reads the store
+	// itself if no seed answers at once. Otherwise it gives the seeds time to read the store for
+	// all.
 	UnderLoad bool
 	Source    directory.Source
 	Link      peer.Link
 	Peers     PeerSetter
-	Reach     Reach
+	Reach     Reachability
 	Board     *blackboard.Board
 	Metrics   *metrics.Set
 	Log       *zap.Logger
 	Seed      uint64
 }
 
-// Controller runs on every host.
+// Controller watches the store or follows the hosts that do. Every host runs one.
 type Controller struct {
-	deps     Deps
-	self     ports.HostID
-	count    counters
-	wake     chan struct{}
-	patience storePatience
-	// asking has one question at a time under way about how new the configuration is.
-	asking singleflight.Group
+	deps    Deps
+	self    ports.HostID
+	count   counters
+	wake    chan struct{}
+	timeout storeTimeout
+	// confirmGroup limits this host to one Confirm request at a time; concurrent callers share
+	// it.
+	confirmGroup singleflight.Group
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	state *directory.State
-	hosts map[ports.HostID]directory.Host
-	gone  map[ports.HostID]departed
-	// hostsGathered is set while changes of the list of hosts wait to be published.
-	hostsGathered bool
-	// hostsComplete is set once the list of hosts was that of a watcher.
+	mu      sync.Mutex
+	rng     *rand.Rand
+	state   *directory.State
+	hosts   map[ports.HostID]directory.Host
+	removed map[ports.HostID]removedHost
+	// hostsPending is set while changes to the list of hosts are batched before they are
+	// published.
+	hostsPending bool
+	// hostsComplete is set once the list of hosts has matched that of a watcher.
 	hostsComplete bool
 
-	beats   map[ports.HostID]watchers.Beat
-	decider *watchers.Decider
-	// refused is when others last told that the store did not serve their try to watch.
-	refused map[ports.HostID]time.Time
-	// watch is set while this host watches.
-	watch   *watching
-	watches atomic.Bool
-	// storeLost is set while the store failed this host last.
-	storeLost bool
-	// servedAt is when the store last told any host of targets, as far as this one knows,
-	// outageEnd when it last did so after it had told none for lapseAfter.
-	servedAt, outageEnd time.Time
-	// copyAt is when this host heard that the record came back from an older copy; the zero
-	// time if it never did.
-	copyAt time.Time
-	// wholeStep is what hosts that know nothing are told; nil if none has asked.
-	wholeStep *wholeStep
-	// evacuationsChanged is set until the board's targets heed the orders at hand.
+	heartbeats map[ports.HostID]watchers.Beat
+	decider    *watchers.Decider
+	// refusedAt is when each host last reported that the store did not serve its attempt to
+	// watch.
+	refusedAt map[ports.HostID]time.Time
+	// watch is the current watch of the store; nil while this host is not a watcher.
+	watch      *storeWatch
+	isWatching atomic.Bool
+	// storeFailing is set while the last call of this host to the store failed.
+	storeFailing bool
+	// targetsServedAt is when the store last answered any host about targets, as far as this
+	// host knows. outageEnd is when it last did so after a gap of at least minOutage.
+	targetsServedAt, outageEnd time.Time
+	// restoredAt is when this host learned that the store was restored from an older copy; zero
+	// if it never was.
+	restoredAt time.Time
+	// cachedSnapshot is the encoded snapshot for hosts that have no state yet; nil until one
+	// asks.
+	cachedSnapshot *encodedSnapshot
+	// evacuationsChanged is set until the targets on the board reflect the current evacuations.
 	evacuationsChanged bool
-	lines              *rate.Limiter
-	// expiry is when a target that is held stops being usable.
+	logLimiter         *rate.Limiter
+	// expiry is when the set of usable targets next changes by itself, as when the hold on a
+	// removed target ends; zero if it does not.
 	expiry time.Time
-	// serving is closed once the host knows enough to serve.
+	// serving is closed once the host has enough state to serve.
 	serving   chan struct{}
 	isServing bool
-	// checking is set while this host finds out whether it is behind, exchangeAt is
-	// the earliest time to tell again whom it knows.
-	checking   bool
-	exchangeAt time.Time
-	// wordAt is when a watcher of the store was last heard, or this host was one, keptAt when
-	// it last told that it keeps to orders without that.
-	wordAt, keptAt time.Time
-	// announced is the digest of the hosts last written down, announceAt the
-	// earliest time of the next writing.
-	announced  uint64
-	announceAt time.Time
+	// catchingUp is set while this host finds out whether it is behind. nextExchange is the
+	// earliest time at which it exchanges lists of hosts again.
+	catchingUp   bool
+	nextExchange time.Time
+	// watcherSeenAt is when this host last heard a watcher that the store serves, or was one
+	// itself. staleLoggedAt is when it last logged that it keeps evacuations in force without
+	// one.
+	watcherSeenAt, staleLoggedAt time.Time
+	// announcedDigest is the digest of the list of hosts last written to the store, nextAnnounce
+	// the earliest time of the next write.
+	announcedDigest uint64
+	nextAnnounce    time.Time
 }
 
-// New returns a controller and registers its messages with the link.
+// New returns a controller and registers its message handlers with the link.
 func New(d Deps) *Controller {
 	c := &Controller{
-		deps:    d,
-		self:    d.Self.ID(),
-		count:   newCounters(d.Metrics),
-		wake:    make(chan struct{}, 1),
-		rng:     rand.New(rand.NewPCG(d.Seed, 4)),
-		state:   directory.NewState(),
-		hosts:   map[ports.HostID]directory.Host{d.Self.ID(): d.Self},
-		gone:    make(map[ports.HostID]departed),
-		beats:   make(map[ports.HostID]watchers.Beat),
-		decider: watchers.NewDecider(d.Self.ID()),
-		refused: make(map[ports.HostID]time.Time),
-		serving: make(chan struct{}),
-		lines:   rate.NewLimiter(linesPerSecond, lineBurst),
-		// A host that has just started knows nothing of an outage before.
-		servedAt: time.Now(),
+		deps:       d,
+		self:       d.Self.ID(),
+		count:      newCounters(d.Metrics),
+		wake:       make(chan struct{}, 1),
+		rng:        rand.New(rand.NewPCG(d.Seed, 4)),
+		state:      directory.NewState(),
+		hosts:      map[ports.HostID]directory.Host{d.Self.ID(): d.Self},
+		removed:    make(map[ports.HostID]removedHost),
+		heartbeats: make(map[ports.HostID]watchers.Beat),
+		decider:    watchers.NewDecider(d.Self.ID()),
+		refusedAt:  make(map[ports.HostID]time.Time),
+		serving:    make(chan struct{}),
+		logLimiter: rate.NewLimiter(linesPerSecond, lineBurst),
+		// A host that has just started knows of no earlier outage.
+		targetsServedAt: time.Now(),
 	}
 	for _, addr := range d.Seeds {
 		h := directory.Host{Addr: addr}
@@ -139,7 +153,7 @@
 		return s, true
 	})
 	d.Metrics.Func("configuration", c.confirmationMetrics)
-	peer.Handle(d.Link, kindBeat, c.onBeat)
+	peer.Handle(d.Link, kindHeartbeat, c.onHeartbeat)
 	peer.Handle(d.Link, kindChanges, c.onChanges)
 	peer.Handle(d.Link, kindSync, c.onSync)
 	peer.Handle(d.Link, kindHosts, c.onHosts)
@@ -149,16 +163,16 @@
 	return c
 }
 
-// AddSeeds takes in further addresses of other hosts.
+// AddSeeds adds peer addresses of other hosts.
 func (c *Controller) AddSeeds(seeds []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, addr := range seeds {
-		c.heard(directory.Host{Addr: addr})
+		c.noteHost(directory.Host{Addr: addr})
 	}
 }
 
-// Run keeps the host up to date until ctx ends.
+// Run keeps the host's state up to date until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	c.mu.Lock()
 	c.publishHosts()
@@ -179,11 +193,11 @@
 	}
 }
 
-// idleStep is the longest time between two looks at who watches.
+// idleStep is the longest time between two calls of step.
 const idleStep = 5 * time.Second
 
-// step takes over or hands over the watch as decided, and returns when to look
-// again.
+// step starts or stops the watch as the decider says, does the periodic work that is due, and
+// returns when to run next.
 func (c *Controller) step(ctx context.Context) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,21 +205,21 @@
 	if !c.expiry.IsZero() && !now.Before(c.expiry) {
 		c.publishTargets(now)
 	}
-	c.keepEvacuations(now)
+	c.logStaleEvacuations(now)
 	wanted, next := c.decider.Decide(now, c.view())
 	switch {
 	case wanted && c.watch == nil:
 		c.startWatching(ctx)
 		next = now.Add(watchers.BeatEvery)
 	case !wanted && c.watch != nil:
-		c.endWatching("others watch")
+		c.endWatching("enough other hosts watch")
 	}
 	if c.watch != nil {
 		if c.watch.serves() && now.Sub(c.watch.started) >= completeAfter {
 			c.noteComplete()
 		}
-		c.beatIfDue(now)
-		c.leaveOutIfDue(now)
+		c.heartbeatIfDue(now)
+		c.removeUnreachable(now)
 		c.announceIfDue(ctx, now)
 	}
 	if !c.expiry.IsZero() && (next.IsZero() || c.expiry.Before(next)) {
@@ -217,18 +231,18 @@
 	return next
 }
 
-// Watches reports whether this host watches the store.
-func (c *Controller) Watches() bool { return c.watches.Load() }
+// Watches reports whether this host is watching the store.
+func (c *Controller) Watches() bool { return c.isWatching.Load() }
 
-// Watched reports whether a host that watches the store, or this one, had word of it of late.
+// Watched reports whether a host that the store serves is watching it, this one included.
 func (c *Controller) Watched() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(watchers.Fresh(time.Now(), c.beats)) > 0 || c.watch != nil && c.watch.storeOK()
+	return len(watchers.Fresh(time.Now(), c.heartbeats)) > 0 || c.watch != nil && c.watch.storeOK()
 }
 
 func (c *Controller) view() watchers.View {
-	v := watchers.View{Beats: c.beats, Watching: c.watch != nil, Refused: c.refused}
+	v := watchers.View{Beats: c.heartbeats, Watching: c.watch != nil, Refused: c.refusedAt}
 	for id := range c.hosts {
 		v.Hosts = append(v.Hosts, id)
 	}
@@ -238,8 +252,8 @@
 	return v
 }
 
-// AwaitStart waits until the host knows enough to serve, or ctx ends, and reports
-// which.
+// AwaitStart waits until the host has enough state to serve and returns true, or returns false
+// once ctx ends.
 func (c *Controller) AwaitStart(ctx context.Context) bool {
 	select {
 	case <-c.serving:
@@ -249,7 +263,7 @@
 	}
 }
 
-// wakeUp has Run look at once.
+// wakeUp makes Run call step at once.
 func (c *Controller) wakeUp() {
 	select {
 	case c.wake <- struct{}{}:
@@ -257,40 +271,40 @@
 	}
 }
 
-// merge takes in a step, puts what is new in force and returns that. The lock is held.
+// merge applies changes, publishes those that were new and returns them. c.mu must be held.
 func (c *Controller) merge(now time.Time, ch directory.Changes, from ports.HostID) directory.Changes {
-	had := c.state.Config()
-	c.noteCopy(now, ch)
-	passed := ch.Hold
+	previous := c.state.Config()
+	c.noteRestore(now, ch)
+	forwardedHold := ch.Hold
 	ch.Hold = max(ch.Hold, c.outageHold(now))
-	news := c.state.Take(now, ch)
-	news.Hold = passed // what this host believes of an outage may come from a cut of its own
+	applied := c.state.Take(now, ch)
+	applied.Hold = forwardedHold // an outage seen by this host may be a partition of its own
 	if ch.Delta != nil {
-		c.hear(ch.Delta.Version)
+		c.noteVersion(ch.Delta.Version)
 	}
-	c.hear(c.version())
-	c.count.lateWords.Set(c.state.LateWords())
+	c.noteVersion(c.version())
+	c.count.staleEntries.Set(c.state.LateWords())
 	c.count.refusedConfigs.Set(c.state.RefusedConfigs())
-	if news.Empty() && (c.known() || !c.state.HasTargets()) {
-		return news
+	if applied.Empty() && (c.targetsKnown() || !c.state.HasTargets()) {
+		return applied
 	}
-	// The configuration comes last: with it a host that starts begins to serve, and by then it
-	// must heed the orders that it read beside it.
-	c.publishEvacuations(now, news.Evacuations, from)
-	c.logTargets(ch, news, from)
+	// The configuration is published last: a starting host serves from then on, and must already
+	// honor the evacuations that were read with it.
+	c.publishEvacuations(now, applied.Evacuations, from)
+	c.logTargets(ch, applied, from)
 	c.publishTargets(now)
 	if ch.Hold > 0 {
 		c.wakeUp()
 	}
-	if next := c.state.Config(); next != had {
-		c.publishConfig(had, next, from)
+	if next := c.state.Config(); next != previous {
+		c.publishConfig(previous, next, from)
 	}
 	if c.deps.Board.Status.Load().Serving() && !c.isServing {
 		c.isServing = true
 		close(c.serving)
 	}
-	return news
+	return applied
 }
 
-// known reports whether the status already says that the targets are known.
-func (c *Controller) known() bool { return !c.deps.Board.Status.Load().TargetsUnknown }
+// targetsKnown reports whether the published status says that the targets are known.
+func (c *Controller) targetsKnown() bool { return !c.deps.Board.Status.Load().TargetsUnknown }
--- a/controller/watch/watch_test.go
+++ b/controller/watch/watch_test.go
@@ -13,7 +13,7 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// bound is the time in which a change must be known everywhere.
+// bound is the time within which a change must be known everywhere.
 const bound = 2 * time.Second
 
 const service = "bids"
@@ -25,17 +25,17 @@
 		assert.Equal(t, len(fl.watching()), watchers.Wanted)
 		before := fl.record.Calls()
 		time.Sleep(time.Minute)
-		assert.Check(t, fl.record.Calls()-before < 200, "%d calls in a calm minute", fl.record.Calls()-before)
+		assert.Check(t, fl.record.Calls()-before < 200, "%d calls in an idle minute", fl.record.Calls()-before)
 		fl.record.Configure(config(2))
 		fl.record.Put(entryOf(3, true))
-		took := fl.await(nil, func(h *host) bool { return h.version() == 2 && !h.takes(3) })
+		took := fl.await(nil, func(h *host) bool { return h.version() == 2 && !h.routesTo(3) })
 		assert.Check(t, took < 200*time.Millisecond, "known after %s", took)
 	})
 }
 
-// All hosts start together, and later all lose power and start again at the same
-// moment. Neither may press on the store with calls that grow with the number of
-// hosts squared, and after the second callers are waiting.
+// Guards against a number of calls to the store that grows with the square of the number of
+// hosts, when all hosts start together and when all restart at once after a power loss. Callers
+// are waiting in the second case.
 func TestStartOfManyHosts(t *testing.T) {
 	for _, n := range []int{14, 121} {
 		withFleet(t, n, func(fl *fleet) {
@@ -48,7 +48,7 @@
 			for i := range n {
 				fl.start(i, true)
 			}
-			took := fl.await(nil, func(h *host) bool { return h.version() == 1 && h.takes(0) })
+			took := fl.await(nil, func(h *host) bool { return h.version() == 1 && h.routesTo(0) })
 			assert.Check(t, took < 400*time.Millisecond, "%d hosts ready after %s", n, took)
 			time.Sleep(3 * time.Second)
 			assert.Check(t, fl.record.Calls()-before < 60+3*n, "%d calls at the second start of %d", fl.record.Calls()-before, n)
@@ -56,9 +56,9 @@
 	}
 }
 
-// All hosts lose power, and the seeds come up a little after the others. Each host
-// finds the store, and through it the others, by itself. Hosts that asked each other
-// for all they know, 121 times 121, would fill their links.
+// All hosts lose power, and the seeds come up last. Each host has to find the store, and through
+// it the other hosts, by itself. Guards against saturated links, as when each of the 121 hosts
+// fetches the state from all others.
 func TestSeedsStartLast(t *testing.T) {
 	const n = 121
 	withFleet(t, n, func(fl *fleet) {
@@ -70,7 +70,7 @@
 			fl.start(i, true)
 		}
 		before := fl.messages.Load()
-		took := fl.await(nil, func(h *host) bool { return h.version() == 1 && h.takes(0) })
+		took := fl.await(nil, func(h *host) bool { return h.version() == 1 && h.routesTo(0) })
 		assert.Check(t, took < 200*time.Millisecond, "ready after %s", took)
 		time.Sleep(300 * time.Millisecond)
 		for i := range 3 {
@@ -83,41 +83,39 @@
 	})
 }
 
-// The hosts that watch freeze, just after a target has begun to leave. Nobody tells
-// the others: they must notice the silence, read the store themselves, and send the
-// target nothing new within the bound.
+// The watchers stop responding just after a target started to drain. The other hosts must notice
+// the silence, read the store themselves, and stop sending to the target within the bound.
 func TestDrainIsKnownInTimeThoughWatchersFreeze(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		frozen := fl.watching()
 		for _, h := range frozen {
-			fl.freeze(h)
+			fl.isolate(h)
 		}
 		fl.record.Put(entryOf(3, true))
-		took := fl.await(frozen, func(h *host) bool { return !h.takes(3) })
+		took := fl.await(frozen, func(h *host) bool { return !h.routesTo(3) })
 		assert.Check(t, took < bound, "known after %s", took)
 	})
 }
 
-// The message of one change is lost on its way to one host, and that of the next
-// arrives a moment later. By its newest revision this host is up to date, and it would go
-// on sending calls to the target that left first. It must notice what it lacks.
+// Guards against sending calls to a draining target because its change was lost to one host
+// while the next change arrived: the newest revision alone makes the host look up to date.
 func TestLostChangeIsNoticedThoughALaterOneArrives(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		fl.loseChange(3)
 		fl.record.Put(entryOf(4, true))
-		took := fl.await(nil, func(h *host) bool { return !h.takes(3) && !h.takes(4) })
+		took := fl.await(nil, func(h *host) bool { return !h.routesTo(3) && !h.routesTo(4) })
 		assert.Check(t, took < bound, "known after %s", took)
 	})
 }
 
-// The message of one change is lost on its way to one host while targets are replaced one
-// after the other, so that the next change always comes before a heartbeat can be compared.
-// Each change tells what the list is to be after it, and the gap shows with the next one.
+// One change is lost to one host while targets are replaced one after another, so that the next
+// change always arrives before a heartbeat can be compared. The digest sent with each change has
+// to reveal the gap.
 func TestLostChangeIsNoticedWhileOthersKeepComing(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		start := time.Now()
 		behind := fl.loseChange(3)
-		for i := 10; behind.takes(3) && time.Since(start) < 2*bound; i++ {
+		for i := 10; behind.routesTo(3) && time.Since(start) < 2*bound; i++ {
 			fl.record.Put(entryOf(i, false))
 			time.Sleep(30 * time.Millisecond)
 		}
@@ -125,48 +123,48 @@
 	})
 }
 
-// Where hosts are many, a watcher sends each change to one host of every other
-// availability zone, and these pass it on. A third of all hosts fall silent, relays among
-// them, and targets begin to leave one after the other. A host whose relay was silent
-// asks once it hears from the watcher that it lacks something.
+// With many hosts a watcher sends each change to one host in every other availability zone,
+// which forwards it. A third of all hosts, relays among them, stop responding while targets
+// drain one after another. A host whose relay is silent has to ask once a heartbeat shows that
+// it is behind.
 func TestDrainIsKnownInTimeThoughRelaysAreSilent(t *testing.T) {
 	withFleet(t, 60, func(fl *fleet) {
 		var silent []*host
 		for i, h := range fl.hosts {
 			if i%3 == 1 && !h.watches() {
 				silent = append(silent, h)
-				fl.freeze(h)
+				fl.isolate(h)
 			}
 		}
 		for i := range 8 {
 			fl.record.Put(entryOf(i, true))
-			took := fl.await(silent, func(h *host) bool { return !h.takes(i) })
+			took := fl.await(silent, func(h *host) bool { return !h.routesTo(i) })
 			assert.Check(t, took < bound, "known after %s", took)
 		}
 	})
 }
 
-// The same without a fault: the change is known at once, and a watcher sends less than
-// one message for each host.
+// The same without a fault: the change is known at once, and the hosts receive no more messages
+// in total than there are hosts.
 func TestRelaysSpareTheWatcher(t *testing.T) {
 	withFleet(t, 60, func(fl *fleet) {
 		steps := func() (n int64) {
 			for _, h := range fl.hosts {
-				n += h.c.count.steps.Value()
+				n += h.c.count.changes.Value()
 			}
 			return n
 		}
 		before := steps()
 		fl.record.Put(entryOf(3, true))
-		took := fl.await(nil, func(h *host) bool { return !h.takes(3) })
+		took := fl.await(nil, func(h *host) bool { return !h.routesTo(3) })
 		assert.Check(t, took < 50*time.Millisecond, "known after %s", took)
 		time.Sleep(time.Second)
 		assert.Check(t, steps()-before <= 60, "%d messages", steps()-before)
 	})
 }
 
-// The store turns away the hosts that watch, and three others besides, in each of
-// the ways it has. The rest must know of a leaving target within the bound.
+// The store rejects the watchers and three other hosts, by refusing and by staying silent. The
+// others must know of a draining target within the bound.
 func TestDrainIsKnownInTimeThoughTheStoreTurnsWatchersAway(t *testing.T) {
 	for _, mode := range []record.Mode{record.Refuses, record.Silent} {
 		withFleet(t, 14, func(fl *fleet) {
@@ -180,15 +178,15 @@
 				h.client.Set(mode)
 			}
 			fl.record.Put(entryOf(3, true))
-			took := fl.await(nil, func(h *host) bool { return !h.takes(3) })
+			took := fl.await(nil, func(h *host) bool { return !h.routesTo(3) })
 			assert.Check(t, took < bound, "mode %d: known after %s", mode, took)
 		})
 	}
 }
 
-// The store holds its watches back for a second, a target begins to leave and
-// another one is gone meanwhile, and then the history is dropped. Both must be
-// known within the bound from the moment they were written.
+// The store delays its watches for a second, one target starts to drain and another is removed
+// meanwhile, and then the history is dropped. Both must be known within the bound from when they
+// were written.
 func TestDrainIsKnownInTimeThoughHistoryIsDropped(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		fl.record.Mute(true)
@@ -198,13 +196,13 @@
 		time.Sleep(time.Second)
 		fl.record.DropHistory()
 		fl.record.Mute(false)
-		fl.await(nil, func(h *host) bool { return !h.takes(3) && !h.takes(4) })
+		fl.await(nil, func(h *host) bool { return !h.routesTo(3) && !h.routesTo(4) })
 		assert.Check(t, time.Since(start) < bound, "known after %s", time.Since(start))
 	})
 }
 
-// All seeds are stale: they name hosts that are gone. A host that starts must find
-// the others all the same, by the list that a watcher wrote down.
+// All seeds are stale. A starting host must still find the others, by the list of hosts that a
+// watcher wrote to the store.
 func TestStaleSeedsAreNoObstacle(t *testing.T) {
 	withFleet(t, 6, func(fl *fleet) {
 		fl.seeds = []string{"10.9.0.1:8649", "10.9.0.2:8649"}
@@ -213,14 +211,13 @@
 		assert.Equal(t, h.version(), uint64(1))
 		assert.Check(t, len(h.board.Members.Load().Members) >= 7)
 		fl.record.Put(entryOf(3, true))
-		took := fl.await(nil, func(h *host) bool { return !h.takes(3) })
+		took := fl.await(nil, func(h *host) bool { return !h.routesTo(3) })
 		assert.Check(t, took < bound, "known after %s", took)
 	})
 }
 
-// A target's own answer told one host that it is leaving. The target starts again under
-// its name: the host takes it at once, as the others do, though it never heard of the
-// former run's entry going.
+// Guards against a target staying marked as leaving after a restart: its own response marked it
+// on one host, which never saw the previous incarnation's entry removed.
 func TestHintOfLeavingEndsWithTheRun(t *testing.T) {
 	withFleet(t, 4, func(fl *fleet) {
 		h := fl.hosts[3]
@@ -229,11 +226,11 @@
 		})
 		fl.record.Put(entryOf(7, false))
 		time.Sleep(time.Second)
-		assert.Check(t, !h.takes(2), "the record lags behind the target's own word")
+		assert.Check(t, !h.routesTo(2), "the store's older entry replaced the target's own response")
 		next := entryOf(2, false)
 		next.Incarnation = 2
 		fl.record.Put(next)
 		time.Sleep(time.Second)
-		assert.Check(t, h.takes(2))
+		assert.Check(t, h.routesTo(2))
 	})
 }
