--- a/controller/watch/peers.go
+++ b/controller/watch/peers.go
@@ -82,7 +82,7 @@
 		newest == b.Newest && c.state.Digest() != b.Digest ||
 		!c.state.HasTargets() ||
 		c.version() < b.Version ||
-		c.state.Evacuations().Lacks(b.EvacuationsAt, b.Evacuations)
+		c.state.Evacuations().Behind(b.EvacuationsAt, b.Evacuations)
 }
 
 // version is the version of the current configuration, or 0 if there is none. c.mu must be held.
@@ -204,7 +204,7 @@
 // of it, so that snapshot is encoded once and reused. c.mu must be held.
 func (c *Controller) snapshotFor(now time.Time, req syncRequest) packedChanges {
 	if req.Version > 0 || slices.ContainsFunc(req.Buckets, func(b uint64) bool { return b != 0 }) || !c.expiry.IsZero() {
-		return peer.Pack(c.state.Whole(now, req.Version, req.Buckets))
+		return peer.Pack(c.state.Snapshot(now, req.Version, req.Buckets))
 	}
 	current := encodedSnapshot{
 		version: c.version(), digest: c.state.Digest(), newest: c.state.Newest(),
@@ -214,7 +214,7 @@
 	if cached != nil && cached.version == current.version && cached.digest == current.digest && cached.newest == current.newest && cached.evacuations == current.evacuations {
 		return cached.changes
 	}
-	all := c.state.Whole(now, 0, nil)
+	all := c.state.Snapshot(now, 0, nil)
 	packed, err := peer.PackOnce(all)
 	if err != nil {
 		c.deps.Log.Error("failed to encode snapshot", zap.Error(err))
--- a/controller/watch/publish.go
+++ b/controller/watch/publish.go
@@ -14,7 +14,7 @@
 
 // publishConfig puts a configuration into effect. c.mu must be held.
 func (c *Controller) publishConfig(old, next *routing.Config, from ports.HostID) {
-	directory.CheckForward(old, next)
+	directory.AssertNewer(old, next)
 	c.deps.Board.Routes.Store(routing.NewTable(next, c.rng))
 	c.deps.Board.Status.Update(func(s blackboard.Status) (blackboard.Status, bool) {
 		changed := !s.ConfigConfirmed
@@ -66,7 +66,7 @@
 // that have not changed, unless all is set. Both lists are sorted by ID. c.mu must be held.
 func (c *Controller) boardTargets(now time.Time, name string, old []blackboard.Target, all bool) []blackboard.Target {
 	list := make([]blackboard.Target, 0, c.state.Count(name))
-	for u, changed := range c.state.Show(name) {
+	for u, changed := range c.state.VisitTargets(name) {
 		for len(old) > 0 && old[0].ID < u.ID {
 			old = old[1:]
 		}
--- a/controller/watch/watch.go
+++ b/controller/watch/watch.go
@@ -277,13 +277,13 @@
 	c.noteRestore(now, ch)
 	forwardedHold := ch.Hold
 	ch.Hold = max(ch.Hold, c.outageHold(now))
-	applied := c.state.Take(now, ch)
+	applied := c.state.Apply(now, ch)
 	applied.Hold = forwardedHold // an outage seen by this host may be a partition of its own
 	if ch.Delta != nil {
 		c.noteVersion(ch.Delta.Version)
 	}
 	c.noteVersion(c.version())
-	c.count.staleEntries.Set(c.state.LateWords())
+	c.count.staleEntries.Set(c.state.StaleEntries())
 	c.count.refusedConfigs.Set(c.state.RefusedConfigs())
 	if applied.Empty() && (c.targetsKnown() || !c.state.HasTargets()) {
 		return applied
--- a/directory/config_test.go
+++ b/directory/config_test.go
@@ -9,7 +9,8 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// configOf is a configuration with one route to a service, and more of the same host.
+// configOf returns a configuration with a route to a service, after further routes of the same
+// host.
 func configOf(version uint64, service string, more ...routing.Route) *routing.Config {
 	return &routing.Config{
 		Version:  version,
@@ -30,9 +31,9 @@
 	return Changes{Delta: &d}
 }
 
-// A caller is told 404 of a route, or led to a service that is gone. A host passed on a
-// configuration that can not be put in force, whole: its program knows no check that this
-// one has. The last good one stays, as if the store had such a document.
+// Guards against putting a configuration into effect that fails the checks, after a peer with a
+// program that lacks a check forwarded it: callers would get a 404, or be routed to a service
+// that is gone. The last good configuration stays, as it does for such a document in the store.
 func TestWholeConfigurationThatIsWrongIsNotTaken(t *testing.T) {
 	s := NewState()
 	good := configOf(3, "a")
@@ -43,9 +44,9 @@
 	assert.Check(t, s.Merge(now, Changes{Config: configOf(5, "b")}))
 }
 
-// The operator's API gives each document a version of its own. Should two bear the same
-// all the same, a host keeps the one that it has: to trade it would have the same version
-// mean this here and that there for as long as both are passed on.
+// The operator's API gives each document its own version. If two nevertheless share one, a host
+// must keep the first: after a replacement the version would mean different things on different
+// hosts for as long as both are forwarded.
 func TestAnotherConfigurationOfTheSameVersionIsPassedOver(t *testing.T) {
 	s := NewState()
 	first := configOf(3, "a")
@@ -53,11 +54,11 @@
 	assert.Check(t, !s.Merge(now, Changes{Config: configOf(3, "b")}))
 	assert.Check(t, !s.Merge(now, deltaOf(configOf(3, "b"), configOf(3, "a"))))
 	assert.Equal(t, s.Config(), first)
-	assert.Check(t, s.Whole(now, 3, nil).Config == nil, "told to a host that has this version")
+	assert.Check(t, s.Snapshot(now, 3, nil).Config == nil, "sent to a host that has this version")
 }
 
-// A reading of the store that is older than what is known, and a change that was made of
-// such a reading, lead nowhere: a route that was added is not dropped again.
+// Guards against losing an added route to a stale read of the store, or to a delta computed from
+// one.
 func TestOlderConfigurationAfterANewerOneIsPassedOver(t *testing.T) {
 	older, newer := configOf(3, "a"), configOf(7, "b", routeOf("added", "a"))
 	for _, late := range []Changes{
@@ -70,26 +71,26 @@
 		s := NewState()
 		s.Merge(now, Changes{Revision: 10, Config: older})
 		assert.Check(t, s.Merge(now, deltaOf(older, newer)))
-		had := s.Config()
+		previous := s.Config()
 		assert.Check(t, !s.Merge(now, late))
-		assert.Equal(t, s.Config(), had)
+		assert.Equal(t, s.Config(), previous)
 		assert.Equal(t, s.RefusedConfigs(), int64(0))
 	}
 }
 
-// A caller is told 404 by one host alone. It read another document of the version at which
-// a change begins, without a route that did not change. It stays where it is, which shows
-// it behind, and the whole brings it up to date.
-func TestDeltaThatLeadsElsewhereIsMadeGoodByTheWhole(t *testing.T) {
-	ahead, odd := NewState(), NewState()
+// Guards against a host that answers 404 alone: it read another document under the version at
+// which a delta begins, without a route that the delta does not contain. It must refuse the
+// delta, which leaves it visibly behind, and the whole configuration then repairs it.
+func TestDeltaWithADifferentResultIsRepairedByASnapshot(t *testing.T) {
+	ahead, divergent := NewState(), NewState()
 	from, to := configOf(3, "a", routeOf("kept", "a")), configOf(4, "b", routeOf("kept", "a"))
 	ahead.Merge(now, Changes{Config: from})
-	odd.Merge(now, Changes{Config: configOf(3, "a")})
+	divergent.Merge(now, Changes{Config: configOf(3, "a")})
 	step := deltaOf(from, to)
 	assert.Check(t, ahead.Merge(now, step))
-	assert.Check(t, !odd.Merge(now, step))
-	assert.Equal(t, odd.Config().Version, uint64(3))
-	assert.Equal(t, odd.RefusedConfigs(), int64(1))
-	assert.Check(t, odd.Merge(now, ahead.Whole(now, odd.Config().Version, odd.Buckets())))
-	assert.Equal(t, odd.Config().Digest(), to.Digest())
+	assert.Check(t, !divergent.Merge(now, step))
+	assert.Equal(t, divergent.Config().Version, uint64(3))
+	assert.Equal(t, divergent.RefusedConfigs(), int64(1))
+	assert.Check(t, divergent.Merge(now, ahead.Snapshot(now, divergent.Config().Version, divergent.Buckets())))
+	assert.Equal(t, divergent.Config().Digest(), to.Digest())
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,7 +1,9 @@
-// Package directory is what all hosts know of the platform's record: the
-// configuration by routes, the targets and the entry hosts. Source is the port
-// to the platform; State merges what comes from it and from other hosts, in any
-// order and any number of times.
+// Package directory holds the state of the platform's store that all hosts replicate: the
+// routing configuration, the zone evacuations, the targets, and the list of entry hosts.
+//
+// Source is the interface to the store. What a read or a watch returns, and what hosts send each
+// other, is a Changes value. State merges these values idempotently and in any order, like a
+// replicated data type, so that hosts with the same input converge.
 package directory
 
 import (
@@ -14,19 +16,19 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// Topic is a part of the record that is read and watched by itself.
+// Topic is a part of the store that is read and watched separately.
 type Topic uint8
 
 const (
-	// TopicConfig is the configuration, and the orders to evacuate zones.
+	// TopicConfig covers the configuration and the zone evacuations.
 	TopicConfig Topic = iota
-	// TopicTargets is the list of targets.
+	// TopicTargets covers the list of targets.
 	TopicTargets
 	// Topics is the number of topics.
 	Topics
 )
 
-// String returns the name of the topic in logs.
+// String returns the topic's name for logs.
 func (t Topic) String() string {
 	if t == TopicConfig {
 		return "config"
@@ -34,108 +36,108 @@
 	return "targets"
 }
 
-// Errors of a Source, to be tested with errors.Is. Any other error, and these,
-// mean that nothing is known.
+// Errors returned by a Source, to be tested with errors.Is. After any error, these included, the
+// state of the store is unknown.
 var (
-	// ErrHistoryGone says that changes since the revision asked about are no
-	// longer kept: the topic has to be read whole.
-	ErrHistoryGone = errors.New("history of the platform's record is gone")
-	// ErrRefused says that the platform answered and turned the call away.
-	ErrRefused = errors.New("platform refused the call")
+	// ErrHistoryGone means that the store no longer keeps the changes since the requested
+	// revision: the topic has to be read in full.
+	ErrHistoryGone = errors.New("store no longer keeps the history since the requested revision")
+	// ErrRefused means that the store responded and refused the call.
+	ErrRefused = errors.New("platform store refused the call")
 )
 
-// Source is the platform's record. Implementations are safe for concurrent use.
+// Source reads and watches the platform's store. Implementations are safe for concurrent use.
 type Source interface {
-	// Read returns a topic whole, as of one moment. It fails with context.DeadlineExceeded
-	// once the platform has been silent for a time: an answer that keeps coming is awaited,
-	// however long it is.
+	// Read returns a whole topic as of one moment. It fails with context.DeadlineExceeded once
+	// the store has sent nothing for silence; a response that keeps arriving may take any time.
 	Read(ctx context.Context, t Topic, silence time.Duration) (Changes, error)
-	// Watch returns what changed in a topic after a revision, as soon as there
-	// is something, or an empty Changes after wait. Silence is that of Read, beyond wait.
+	// Watch returns what changed in a topic after a revision as soon as there is a change, or an
+	// empty Changes after wait. Silence is as in Read and starts after wait.
 	Watch(ctx context.Context, t Topic, after Revision, wait, silence time.Duration) (Changes, error)
-	// Hosts returns the entry hosts that were last announced.
+	// Hosts returns the list of entry hosts that was last announced.
 	Hosts(ctx context.Context) ([]Host, error)
-	// Announce writes all entry hosts down for those that start with stale seeds.
+	// Announce writes the list of entry hosts, for hosts that start with stale seeds.
 	Announce(ctx context.Context, hosts []Host) error
 }
 
-// Changes is a step of the record.
+// Changes is a change set: what a read or a watch of the store returned, or what one host sends
+// another.
 type Changes struct {
-	// Revision is that up to which the step leads.
+	// Revision is the revision up to which the change set leads.
 	Revision Revision `msgpack:"revision"`
-	// AllTargets is set if Targets was read whole: those that it does not name
-	// are gone.
+	// AllTargets is set if Targets is the complete list: targets that it does not contain are
+	// gone.
 	AllTargets bool `msgpack:"all_targets"`
-	// Partial is set if AllTargets holds for the targets of Buckets alone, a set of bits;
-	// the receiver's others are as the sender's. See State.Buckets.
+	// Partial is set if AllTargets applies only to the targets in Buckets, a bit set; the
+	// receiver has the same other targets as the sender. See State.Buckets.
 	Partial bool   `msgpack:"partial"`
 	Buckets uint64 `msgpack:"buckets"`
-	// Newest is the newest revision of a state that the step makes the receiver equal
-	// to, 0 for other steps.
+	// Newest is the newest revision of the state that this change set brings the receiver up to,
+	// 0 for other change sets.
 	Newest Revision `msgpack:"newest"`
-	// Config is nil if it did not change.
+	// Config is nil if the configuration did not change.
 	Config *routing.Config `msgpack:"config"`
-	// ConfigUnread is set in an answer of the platform whose configuration can not be read:
-	// the one at hand is not the newest.
+	// ConfigUnreadable is set in an answer of the store whose configuration can not be decoded,
+	// so that the current one is not the newest.
 	ConfigUnread bool `msgpack:"-"`
-	// Waited is the time for which the platform held a watch that it then answered with no
-	// change at all; 0 for other answers.
+	// Waited is how long the store held a watch that it then answered without any change; 0 for
+	// other answers.
 	Waited time.Duration `msgpack:"-"`
-	// Delta is in place of Config where the receiver is likely to have what it
-	// begins at.
+	// Delta replaces Config where the receiver is likely to have the version it is based on.
 	Delta   *routing.Delta `msgpack:"delta"`
 	Targets []Target       `msgpack:"targets"`
-	// Evacuations are orders to evacuate zones, and their ends. AllEvacuations, if not 0, is
-	// the revision as of which they are all: older orders that it does not name have ended.
+	// Evacuations are zone evacuations and ends of evacuations. AllEvacuations, if not 0, is the
+	// revision as of which the list is complete: older evacuations that it does not contain have
+	// ended.
 	Evacuations    []Evacuation `msgpack:"evacuations"`
 	AllEvacuations Revision     `msgpack:"all_evacuations"`
-	// Digest is that of the sender's list after the step, DigestAt the newest revision in
-	// it; 0 if not told.
+	// Digest is the digest of the sender's list of targets after these changes, DigestAt the
+	// newest revision in it; 0 if unknown.
 	Digest   uint64   `msgpack:"digest"`
 	DigestAt Revision `msgpack:"digest_at"`
-	// Hold is how long targets that were removed without notice are still to be
-	// used. See State.Merge.
+	// Hold is for how long targets that were removed without draining are still used. See
+	// State.Apply.
 	Hold time.Duration `msgpack:"hold"`
 }
 
-// Empty reports whether a step changes nothing.
+// Empty reports whether the change set contains no changes.
 func (c Changes) Empty() bool {
 	return c.Config == nil && c.Delta == nil && len(c.Targets) == 0 && !c.AllTargets && len(c.Evacuations) == 0 && c.AllEvacuations == 0
 }
 
-// Target is one target in the record.
+// Target is a target's entry in the store.
 type Target struct {
 	ID       ports.HostID `msgpack:"id"`
 	Revision Revision     `msgpack:"revision"`
-	// Removed is set for a target that left the record; the fields below are
-	// those it had, if known.
+	// Removed is set for a target whose entry is gone; the fields below are those it had, if
+	// known.
 	Removed bool `msgpack:"removed"`
-	// Unreadable is set for one that was removed because its entry can not be read: it
-	// names no target, whatever it named before.
+	// Unreadable is set for a target that was removed because its entry can not be decoded,
+	// whatever the entry contained before.
 	Unreadable bool `msgpack:"unreadable"`
-	// Incarnation tells the target's runs apart.
+	// Incarnation distinguishes successive processes of the target.
 	Incarnation ports.Incarnation `msgpack:"incarnation"`
 
 	Service string `msgpack:"service"`
 	Addr    string `msgpack:"addr"`
 	Zone    string `msgpack:"zone"`
-	// Slots is the number of requests the target runs at once.
+	// Slots is the number of requests that the target processes concurrently.
 	Slots int `msgpack:"slots"`
-	// Draining targets get no new request.
+	// Draining is set for a target that gets no new requests.
 	Draining bool `msgpack:"draining"`
-	// WarmUp is how long the target was still slow when the record was written.
+	// WarmUp is for how long the target was still going to be slow when the entry was written.
 	WarmUp time.Duration `msgpack:"warm_up"`
 }
 
-// Host is one entry host. Its address on the peer network names it, so that the
-// addresses of a few seeds are enough to begin with.
+// Host is an entry host. Its address on the peer network identifies it, so that the addresses of
+// a few seeds are enough to start with.
 type Host struct {
 	Addr string `msgpack:"addr" json:"addr"`
 	Zone string `msgpack:"zone" json:"zone"`
-	// Start is when its process started, in nanoseconds since 1970, or 0 if not known.
-	// It tells a host that came back from what was known of it before.
+	// Start is when the host's process started, in nanoseconds since 1970, or 0 if unknown. It
+	// distinguishes a restarted host from its previous process.
 	Start int64 `msgpack:"start" json:"start"`
 }
 
-// ID returns the name by which other hosts know the host.
+// ID returns the ID of the host on the peer network.
 func (h Host) ID() ports.HostID { return ports.HostID(h.Addr) }
--- a/directory/evacuation.go
+++ b/directory/evacuation.go
@@ -12,50 +12,51 @@
 	"github.com/cactusproxy/cactusproxy/internal/invariant"
 )
 
-// Evacuation is the operator's order that the targets of an availability zone get no more
-// requests, or the end of that order.
+// Evacuation is an operator's instruction that the targets of an availability zone get no more
+// requests, or the end of that instruction.
 type Evacuation struct {
 	Zone string `msgpack:"zone"`
-	// Revision is that of the order's entry or, once it has ended, that of its removal.
+	// Revision is that of the evacuation's entry or, once it has ended, that of the entry's
+	// removal.
 	Revision Revision `msgpack:"revision"`
 	Ended    bool     `msgpack:"ended"`
 }
 
-// newer reports whether an order replaces another one for the same zone. Of two words of one
-// revision the end holds: a removal that was read as a gap in the list has the revision of
-// the reading.
+// newer reports whether an evacuation replaces another one of the same zone. At equal revisions
+// the end wins: a removal inferred from a full read has the revision of the read.
 func (e Evacuation) newer(than Evacuation) bool {
 	return e.Revision > than.Revision || e.Revision == than.Revision && e.Ended && !than.Ended
 }
 
-// EvacuationState is what a host knows of one order.
+// EvacuationState is an evacuation as known to a host.
 type EvacuationState struct {
 	Evacuation
-	// Since is when this host heard of the order or, once that has ended, of its end; the
-	// zero time for an end without an order that this host knew.
+	// Since is when this host learned of the evacuation or, once that has ended, of its end;
+	// zero for an end of an evacuation that this host never knew.
 	Since time.Time
 }
 
-// maxEndedEvacuations bounds the orders that are remembered after their end, some 100 bytes
-// each: operators may name any number of zones over the years.
+// maxEndedEvacuations bounds the ended evacuations that are remembered, some 100 bytes each:
+// operators may name any number of zones over the years.
 const maxEndedEvacuations = 256
 
-// Evacuations are the orders that one host knows, by zone. Merging is idempotent and does not
-// depend on order. It is not safe for concurrent use. The zero value knows none.
+// Evacuations are the zone evacuations known to one host, by zone. Merging is idempotent and
+// does not depend on order. The zero value is empty. It is not safe for concurrent use.
 //
-// The end of an order is remembered like the order itself, so that a host that was cut off
-// does not bring it back.
+// Ended evacuations are remembered as well, so that a host that was cut off does not bring them
+// back.
 type Evacuations struct {
 	zones  map[string]EvacuationState
 	newest Revision
-	// wholeAt is the newest revision as of which all orders are known, 0 if they never were.
-	wholeAt Revision
+	// completeAt is the newest revision as of which all evacuations are known, 0 if they never
+	// were.
+	completeAt Revision
 }
 
-// Newest returns the highest revision up to which the host has heard of orders.
+// Newest returns the highest revision of evacuations that the host has seen.
 func (e *Evacuations) Newest() Revision { return e.newest }
 
-// Digest is the same for hosts that know the same orders to be in force.
+// Digest is equal on hosts that have the same evacuations in force.
 func (e *Evacuations) Digest() uint64 {
 	var sum uint64
 	for _, o := range e.zones {
@@ -66,23 +67,23 @@
 	return sum
 }
 
-// Lacks reports whether another host, whose newest revision and digest are given, knows of an
-// order or of the end of one that this one does not.
+// Behind reports whether another host, given its newest revision and digest, knows of an
+// evacuation or of an end that this host lacks.
 //
-// The newest revisions alone may be the same after one of two orders was lost. Hosts that know the
-// same orders to be in force have nothing to tell each other.
-func (e *Evacuations) Lacks(newest Revision, digest uint64) bool {
+// Comparing revisions is not enough: the newest ones may be equal although an earlier evacuation
+// was lost. Hosts with the same evacuations in force need no exchange.
+func (e *Evacuations) Behind(newest Revision, digest uint64) bool {
 	return e.newest <= newest && e.Digest() != digest
 }
 
-// Active reports whether a zone is to get no requests.
+// Active reports whether a zone is evacuated.
 func (e *Evacuations) Active(zone string) bool {
 	o, ok := e.zones[zone]
 	return ok && !o.Ended
 }
 
-// EndedAt returns when this host heard of the end of the last order for a zone; the zero time
-// if it knows of none, or the zone is evacuated again.
+// EndedAt returns when this host learned that the last evacuation of a zone ended; zero if it
+// knows of none or the zone is evacuated again.
 func (e *Evacuations) EndedAt(zone string) time.Time {
 	if o := e.zones[zone]; o.Ended {
 		return o.Since
@@ -90,76 +91,76 @@
 	return time.Time{}
 }
 
-// All returns every order and end that is known, sorted by zone.
+// All returns all known evacuations, ended ones included, sorted by zone.
 func (e *Evacuations) All() []EvacuationState {
 	list := slices.Collect(maps.Values(e.zones))
 	slices.SortFunc(list, func(a, b EvacuationState) int { return cmp.Compare(a.Zone, b.Zone) })
 	return list
 }
 
-// whole returns all that is known, for a host that knows less, and the revision as of which it
-// is all there is, or 0.
-func (e *Evacuations) whole() ([]Evacuation, Revision) {
+// snapshot returns all known evacuations, for a host that is behind, and the revision as of
+// which the list is complete, or 0.
+func (e *Evacuations) snapshot() ([]Evacuation, Revision) {
 	list := make([]Evacuation, 0, len(e.zones))
 	for _, o := range e.zones {
 		list = append(list, o.Evacuation)
 	}
-	return list, e.wholeAt
+	return list, e.completeAt
 }
 
-// take merges orders, which are all as of a revision unless that is 0, and returns those that
-// are news.
-func (e *Evacuations) take(now time.Time, list []Evacuation, all Revision) (news []Evacuation) {
+// merge merges evacuations, a complete list as of a revision unless that is 0, and returns those
+// that were new.
+func (e *Evacuations) merge(now time.Time, list []Evacuation, all Revision) (applied []Evacuation) {
 	for _, o := range list {
-		if e.put(now, o) {
-			news = append(news, o)
+		if e.mergeOne(now, o) {
+			applied = append(applied, o)
 		}
 	}
-	if all > e.wholeAt {
-		news = append(news, e.endUnnamed(now, list, all)...)
-		e.wholeAt = all
+	if all > e.completeAt {
+		applied = append(applied, e.endMissing(now, list, all)...)
+		e.completeAt = all
 		e.newest = max(e.newest, all)
 	}
-	e.forget()
-	return news
+	e.prune()
+	return applied
 }
 
-// endUnnamed ends the orders that are not among all those in force as of a revision, and
-// returns their ends.
+// endMissing ends the evacuations that are missing from a complete list as of a revision, and
+// returns the ends.
 //
-// A host that has just started to watch never knew an order that was taken back before: what it
-// does not name tells the others of the end.
-func (e *Evacuations) endUnnamed(now time.Time, list []Evacuation, at Revision) (news []Evacuation) {
-	stands := make(map[string]bool, len(list))
+// A host that has just started to watch never knew an evacuation that ended before; the ends
+// inferred from its full read tell the other hosts.
+func (e *Evacuations) endMissing(now time.Time, list []Evacuation, at Revision) (ends []Evacuation) {
+	active := make(map[string]bool, len(list))
 	for _, o := range list {
-		stands[o.Zone] = stands[o.Zone] || !o.Ended
+		active[o.Zone] = active[o.Zone] || !o.Ended
 	}
 	for _, o := range e.All() {
-		if o.Ended || stands[o.Zone] || o.Revision > at {
+		if o.Ended || active[o.Zone] || o.Revision > at {
 			continue
 		}
 		end := Evacuation{Zone: o.Zone, Revision: at, Ended: true}
-		e.put(now, end)
-		news = append(news, end)
+		e.mergeOne(now, end)
+		ends = append(ends, end)
 	}
-	return news
+	return ends
 }
 
-// put merges one order and reports whether it is news. One that this host does not know
-// although it knows all as of a later revision has ended before that.
-func (e *Evacuations) put(now time.Time, o Evacuation) bool {
+// mergeOne merges one evacuation and reports whether it was new. An evacuation that is missing
+// from a complete list of a later revision has ended before that.
+func (e *Evacuations) mergeOne(now time.Time, o Evacuation) bool {
 	e.newest = max(e.newest, o.Revision)
-	had, ok := e.zones[o.Zone]
-	if ok && !o.newer(had.Evacuation) || !o.Ended && o.Revision <= e.wholeAt {
+	known, ok := e.zones[o.Zone]
+	if ok && !o.newer(known.Evacuation) || !o.Ended && o.Revision <= e.completeAt {
 		return false
 	}
-	invariant.Check(!ok || o.Revision >= had.Revision, invariant.EvacuationForward, "%d after %d", o.Revision, had.Revision)
+	invariant.Check(!ok || o.Revision >= known.Revision, invariant.EvacuationForward, "%d after %d", o.Revision, known.Revision)
 	next := EvacuationState{Evacuation: o, Since: now}
 	switch {
 	case o.Ended && !ok:
 		next.Since = time.Time{}
-	case ok && o.Ended == had.Ended:
-		next.Since = had.Since
+	case ok && o.Ended == known.Ended:
+		next.Since = known.Since
 	}
 	if e.zones == nil {
 		e.zones = make(map[string]EvacuationState)
@@ -168,8 +169,8 @@
 	return true
 }
 
-// forget drops the oldest ends beyond maxEndedEvacuations.
-func (e *Evacuations) forget() {
+// prune drops the oldest ended evacuations beyond maxEndedEvacuations.
+func (e *Evacuations) prune() {
 	if len(e.zones) <= maxEndedEvacuations {
 		return
 	}
--- a/directory/evacuation_model_test.go
+++ b/directory/evacuation_model_test.go
@@ -10,8 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// The model: an operator, the store, two hosts that watch it and one that is told by them. What
-// is read or told arrives late, in any order, or never; hosts start anew and ask another one.
+// A model checker: an operator, the store, two hosts that watch it and one that they forward to.
+// Messages are delayed, reordered or lost, and hosts restart and fetch the state from another
+// host.
 const (
 	modelHosts    = 3
 	modelWatchers = 2
@@ -19,19 +20,20 @@
 	modelRestarts = 1
 )
 
-// modelBounds are how many orders and ends the operator gives, and how many messages are under
-// way at most; more are lost.
-type modelBounds struct{ orders, messages int }
+// modelBounds limits the evacuations and ends that the operator orders, and the messages in
+// transit; further messages are lost.
+type modelBounds struct{ evacuations, messages int }
 
-// safeguards can be taken out, to see that the check finds what they guard against.
+// safeguards are the mechanisms of the protocol; each can be disabled, to show that the search
+// finds the fault that it prevents.
 type safeguards struct {
-	// ends are remembered, digest is compared besides the newest revision, all tells as of
-	// when a host knows all orders.
+	// ends remembers ended evacuations, digest compares digests besides the newest revision, and
+	// all sends the revision as of which a host's list is complete.
 	ends, digest, all bool
 	modelBounds
 }
 
-// modelMessage is orders on their way to a host, all as of a revision unless that is 0.
+// modelMessage carries evacuations to a host, a complete list as of a revision unless that is 0.
 type modelMessage struct {
 	to   int
 	all  Revision
@@ -43,14 +45,14 @@
 	revision Revision
 	restarts int
 	hosts    [modelHosts]Evacuations
-	// ended is the newest end of an order for each zone that each host has heard of.
+	// ended is the newest end of an evacuation that each host has seen, by zone.
 	ended    [modelHosts][modelZones]Revision
 	messages []modelMessage
 }
 
 func modelZone(i int) string { return string(rune('a' + i)) }
 
-// clone returns a copy that can be changed.
+// clone returns a deep copy.
 func (s modelState) clone() modelState {
 	for i := range s.hosts {
 		s.hosts[i].zones = maps.Clone(s.hosts[i].zones)
@@ -59,18 +61,18 @@
 	return s
 }
 
-// key is the same for states that are the same.
+// key is equal for equal states.
 func (s *modelState) key() string {
 	b := make([]byte, 0, 128)
 	for _, o := range s.store {
-		b = appendOrder(b, o)
+		b = appendEvacuation(b, o)
 	}
 	b = append(b, byte(s.restarts))
 	for i := range s.hosts {
-		b = append(b, byte(s.hosts[i].newest), byte(s.hosts[i].wholeAt))
+		b = append(b, byte(s.hosts[i].newest), byte(s.hosts[i].completeAt))
 		for z := range modelZones {
 			b = append(b, byte(s.ended[i][z]))
-			b = appendOrder(b, s.hosts[i].zones[modelZone(z)].Evacuation)
+			b = appendEvacuation(b, s.hosts[i].zones[modelZone(z)].Evacuation)
 		}
 	}
 	slices.SortFunc(s.messages, func(a, b modelMessage) int { return strings.Compare(a.key(), b.key()) })
@@ -84,12 +86,12 @@
 	b := []byte{'|', byte(m.to), byte(m.all)}
 	for _, o := range m.list {
 		b = append(b, o.Zone...)
-		b = appendOrder(b, o)
+		b = appendEvacuation(b, o)
 	}
 	return string(b)
 }
 
-func appendOrder(b []byte, o Evacuation) []byte {
+func appendEvacuation(b []byte, o Evacuation) []byte {
 	ended := byte(0)
 	if o.Ended {
 		ended = 1
@@ -97,8 +99,8 @@
 	return append(b, byte(o.Revision), ended)
 }
 
-// orders returns those in force in the store.
-func (s *modelState) orders() (list []Evacuation) {
+// active returns the evacuations in force in the store.
+func (s *modelState) active() (list []Evacuation) {
 	for _, o := range s.store {
 		if o.Revision > 0 && !o.Ended {
 			list = append(list, o)
@@ -107,9 +109,9 @@
 	return list
 }
 
-// told returns all that a host would tell another one.
-func (g safeguards) told(e *Evacuations) (m modelMessage) {
-	m.list, m.all = e.whole()
+// snapshot returns the message by which a host sends all it knows.
+func (g safeguards) snapshot(e *Evacuations) (m modelMessage) {
+	m.list, m.all = e.snapshot()
 	if !g.all {
 		m.all = 0
 	}
@@ -123,11 +125,11 @@
 	}
 }
 
-// take has a host take in orders, and returns what was news.
-func (g safeguards) take(s *modelState, host int, m modelMessage) []Evacuation {
+// merge merges a message on a host and returns what was new.
+func (g safeguards) merge(s *modelState, host int, m modelMessage) []Evacuation {
 	e := &s.hosts[host]
-	news := e.take(now, m.list, m.all)
-	for _, o := range news {
+	applied := e.merge(now, m.list, m.all)
+	for _, o := range applied {
 		if z := int(o.Zone[0] - 'a'); o.Ended {
 			s.ended[host][z] = max(s.ended[host][z], o.Revision)
 		}
@@ -135,32 +137,33 @@
 	if !g.ends {
 		maps.DeleteFunc(e.zones, func(_ string, o EvacuationState) bool { return o.Ended })
 	}
-	return news
+	return applied
 }
 
-// sync has a host ask another one if a heartbeat of that shows that it lacks something.
+// sync makes a host fetch the state of another one if that one's heartbeat shows that it is
+// behind.
 func (g safeguards) sync(s *modelState, to, from int) {
 	newest, digest := s.hosts[from].Newest(), s.hosts[from].Digest()
-	lacks := s.hosts[to].Lacks(newest, digest)
+	behind := s.hosts[to].Behind(newest, digest)
 	if !g.digest {
-		lacks = s.hosts[to].Newest() < newest
+		behind = s.hosts[to].Newest() < newest
 	}
-	if lacks {
-		g.take(s, to, g.told(&s.hosts[from]))
+	if behind {
+		g.merge(s, to, g.snapshot(&s.hosts[from]))
 	}
 }
 
-// deliver has a message arrive; a watcher passes on what was news to it.
+// deliver delivers a message; a watcher forwards what was new to it.
 func (g safeguards) deliver(s *modelState, i int) {
 	m := s.messages[i]
 	s.messages = slices.Delete(s.messages, i, i+1)
-	news := g.take(s, m.to, m)
-	if m.to >= modelWatchers || len(news) == 0 {
+	applied := g.merge(s, m.to, m)
+	if m.to >= modelWatchers || len(applied) == 0 {
 		return
 	}
 	for to := range modelHosts {
 		if to != m.to {
-			g.send(s, modelMessage{to: to, list: news})
+			g.send(s, modelMessage{to: to, list: applied})
 		}
 	}
 }
@@ -173,11 +176,11 @@
 		list = append(list, n)
 	}
 	for z := range modelZones {
-		if s.revision < Revision(g.orders) {
+		if s.revision < Revision(g.evacuations) {
 			event(func(n *modelState) {
 				n.revision++
-				had := n.store[z]
-				n.store[z] = Evacuation{Zone: modelZone(z), Revision: n.revision, Ended: had.Revision > 0 && !had.Ended}
+				previous := n.store[z]
+				n.store[z] = Evacuation{Zone: modelZone(z), Revision: n.revision, Ended: previous.Revision > 0 && !previous.Ended}
 				for w := range modelWatchers {
 					g.send(n, modelMessage{to: w, list: []Evacuation{n.store[z]}})
 				}
@@ -185,7 +188,7 @@
 		}
 	}
 	for w := range modelWatchers {
-		event(func(n *modelState) { g.send(n, modelMessage{to: w, all: n.revision, list: n.orders()}) })
+		event(func(n *modelState) { g.send(n, modelMessage{to: w, all: n.revision, list: n.active()}) })
 	}
 	for i := range s.messages {
 		event(func(n *modelState) { g.deliver(n, i) })
@@ -200,7 +203,7 @@
 				event(func(n *modelState) {
 					n.restarts++
 					n.hosts[to], n.ended[to] = Evacuations{}, [modelZones]Revision{}
-					g.take(n, to, g.told(&n.hosts[from]))
+					g.merge(n, to, g.snapshot(&n.hosts[from]))
 				})
 			}
 		}
@@ -208,8 +211,8 @@
 	return list
 }
 
-// wentBack reports whether a host keeps to an order although it has heard of its end.
-func (s *modelState) wentBack() bool {
+// regressed reports whether a host has an evacuation in force although it has seen its end.
+func (s *modelState) regressed() bool {
 	for i := range s.hosts {
 		for z, end := range s.ended[i] {
 			if o := s.hosts[i].zones[modelZone(z)]; o.Revision > 0 && !o.Ended && o.Revision <= end {
@@ -220,11 +223,11 @@
 	return false
 }
 
-// settles reports whether all hosts know what the store holds once no event interferes: one
-// reads the whole record, and the others compare its heartbeat with what they know.
-func (g safeguards) settles(s modelState) bool {
+// converges reports whether all hosts match the store once no event interferes: one reads the
+// store in full, and the others compare its heartbeat with their state.
+func (g safeguards) converges(s modelState) bool {
 	s = s.clone()
-	g.take(&s, 0, modelMessage{all: s.revision, list: s.orders()})
+	g.merge(&s, 0, modelMessage{all: s.revision, list: s.active()})
 	for i := 1; i < modelHosts; i++ {
 		g.sync(&s, i, 0)
 	}
@@ -238,8 +241,8 @@
 	return true
 }
 
-// search looks at every state that events can lead to, and returns how many there are and what
-// is wrong with the first that is.
+// search visits every reachable state, and returns their number and a description of the first
+// faulty one.
 func (g safeguards) search() (states int, fault string) {
 	first := modelState{}
 	seen := map[string]bool{first.key(): true}
@@ -247,12 +250,12 @@
 	for len(queue) > 0 {
 		s := queue[0]
 		queue = queue[1:]
-		if !g.settles(s) {
-			return len(seen), fmt.Sprintf("a host does not learn what the store holds: %+v", s)
+		if !g.converges(s) {
+			return len(seen), fmt.Sprintf("a host does not converge to the store: %+v", s)
 		}
 		for _, n := range g.next(s) {
-			if n.wentBack() {
-				return len(seen), fmt.Sprintf("a host went back: %+v, %+v", s, n)
+			if n.regressed() {
+				return len(seen), fmt.Sprintf("a host regressed: %+v, %+v", s, n)
 			}
 			if k := n.key(); !seen[k] {
 				seen[k] = true
@@ -263,10 +266,10 @@
 	return len(seen), ""
 }
 
-// Whatever is lost, late or said twice, and whoever starts anew: no host goes back to an older
-// word of an order, and once a watcher has read the record and its heartbeat is heard, all send
-// nothing to just the zones that are to be empty.
-func TestEveryStateOfOrdersSettles(t *testing.T) {
+// Whatever is lost, delayed or duplicated, and whichever host restarts: no host may return to an
+// evacuation that it saw end, and once a watcher has read the store and its heartbeat has
+// arrived, all hosts must evacuate the same zones as the store.
+func TestEveryReachableStateConverges(t *testing.T) {
 	for _, bounds := range []modelBounds{{3, 1}, {2, 2}} {
 		states, fault := safeguards{ends: true, digest: true, all: true, modelBounds: bounds}.search()
 		assert.Equal(t, fault, "")
@@ -275,8 +278,8 @@
 	}
 }
 
-// Each safeguard is needed: without it the same search finds a state that does not settle.
-func TestSearchFindsWhatTheSafeguardsGuardAgainst(t *testing.T) {
+// Each safeguard is necessary: without it the same search finds a faulty state.
+func TestSearchFindsAFaultWithoutEachSafeguard(t *testing.T) {
 	for _, g := range []safeguards{
 		{digest: true, all: true},
 		{ends: true, all: true},
--- a/directory/incarnation.go
+++ b/directory/incarnation.go
@@ -2,71 +2,76 @@
 
 import "time"
 
-// lateFor is how long a word of an earlier run stands in the record before it is believed.
-// A target renews its entry every 1.5 s, and with three renewals missing the platform drops
-// it: if the later run lives, its own word is back within that time.
-const lateFor = 5 * time.Second
+// staleEntryDelay is how long an entry of an earlier incarnation has to stand in the store
+// before it is accepted. A target renews its entry every 1.5 s, and the platform drops the entry
+// after three missed renewals: if the later incarnation is alive, its own entry is back within
+// that time.
+const staleEntryDelay = 5 * time.Second
 
-// lateWord is what the record says of an earlier run of a target.
+// staleEntry is an entry of an earlier incarnation of a target that is held back.
 //
-// A write of a former run may arrive at the store after the first of the next, so that it is held
-// back. The time of day of a target's host may also have been set back, and its new run seem to
-// be the earlier one: then nothing replaces its word, and after lateFor it is believed.
-type lateWord struct {
+// A write of a previous incarnation may reach the store after the first write of the next, so it
+// is not applied at once. The clock of a target's host may also have been set back, which makes
+// the new incarnation look like the earlier one: then nothing replaces the entry, and it is
+// accepted after staleEntryDelay.
+type staleEntry struct {
 	Target
 	until time.Time
 }
 
-// beginsAfter reports whether a word tells of a later run than another one did.
-func (t Target) beginsAfter(old Target) bool {
+// startedAfter reports whether an entry is of a later incarnation than another one.
+func (t Target) startedAfter(old Target) bool {
 	return !t.Removed && t.Incarnation.Replaces(old.Incarnation) && t.Incarnation > old.Incarnation
 }
 
-// ended reports whether a word tells of a run that had ended when the known one began.
-func (k *known) ended(t Target) bool {
+// supersedes reports whether an entry is of an incarnation that ended before the known one
+// began.
+func (k *targetState) supersedes(t Target) bool {
 	return !t.Removed && t.Incarnation.Replaces(k.Incarnation) && t.Incarnation < k.Incarnation
 }
 
-// beforeCopy reports whether the record came back from an older copy between what is known of a
-// target and a word of it.
-func (k *known) beforeCopy(t Target) bool { return t.Revision.Era() > k.Revision.Era() }
+// predatesRestore reports whether the store was restored from an older copy between the known
+// entry and another one.
+func (k *targetState) predatesRestore(t Target) bool { return t.Revision.Era() > k.Revision.Era() }
 
-// out reports whether a target was removed and is not used any more. A copy that shows it is older
-// than its removal, unless it has come back since: that one stays listed.
-func (k *known) out(now time.Time) bool { return k.Removed && !now.Before(k.goneAt) }
+// unusable reports whether a target was removed and its hold has ended. A restored copy that
+// lists it is older than its removal, unless the target has returned since: then its entry stays
+// listed.
+func (k *targetState) unusable(now time.Time) bool { return k.Removed && !now.Before(k.usableUntil) }
 
-// keepLate notes a word of an earlier run, and reports whether it is news.
-func (s *State) keepLate(now time.Time, k *known, t Target) bool {
-	if t.Revision <= k.Revision || k.lateWord != nil && t.Revision <= k.lateWord.Revision {
+// holdStale holds back an entry of an earlier incarnation and reports whether that is new.
+func (s *State) holdStale(now time.Time, k *targetState, t Target) bool {
+	if t.Revision <= k.Revision || k.stale != nil && t.Revision <= k.stale.Revision {
 		return false
 	}
-	until := now.Add(lateFor)
-	if k.lateWord != nil && k.lateWord.Incarnation == t.Incarnation {
-		until = k.lateWord.until
+	until := now.Add(staleEntryDelay)
+	if k.stale != nil && k.stale.Incarnation == t.Incarnation {
+		until = k.stale.until
 	}
-	k.lateWord = &lateWord{Target: t, until: until}
-	s.late[k.ID] = k
+	k.stale = &staleEntry{Target: t, until: until}
+	s.stale[k.ID] = k
 	return true
 }
 
-// acceptLate believes words of earlier runs that nothing replaced for lateFor.
-func (s *State) acceptLate(now time.Time) {
-	for _, k := range s.late {
-		if !now.Before(k.lateWord.until) {
-			s.put(now, k, k.lateWord.Target)
+// acceptStale accepts entries of earlier incarnations that nothing has replaced for
+// staleEntryDelay.
+func (s *State) acceptStale(now time.Time) {
+	for _, k := range s.stale {
+		if !now.Before(k.stale.until) {
+			s.list(now, k, k.stale.Target)
 		}
 	}
 }
 
-// learnRun notes which run an older word told of, if the newer one did not tell, and
-// reports whether that is news. Hosts hear both in any order.
-func (s *State) learnRun(k *known, t Target) bool {
+// learnIncarnation takes the incarnation from an older entry if the newer one has none, and
+// reports whether that is new. Hosts receive the two in any order.
+func (s *State) learnIncarnation(k *targetState, t Target) bool {
 	if k.Incarnation != 0 || t.Incarnation == 0 {
 		return false
 	}
-	before := k.mark()
+	before := k.digest()
 	k.Incarnation = t.Incarnation
-	s.buckets[bucketOf(t.ID)] ^= before ^ k.mark()
+	s.buckets[bucketOf(t.ID)] ^= before ^ k.digest()
 	if v := s.services[k.Service]; v != nil {
 		k.changed, v.changed = true, true
 	}
--- a/directory/revision.go
+++ b/directory/revision.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// Revision orders all changes that the platform made. A higher one is newer.
+// Revision orders all changes in the platform's store; a higher one is newer.
 //
-// The record may come back from an older copy, and its numbers are given out again then: each time
-// a new era begins, all of whose revisions are above those of the eras before.
+// The store may be restored from an older copy and then assigns the same numbers again. Each
+// restore begins a new era, all of whose revisions are higher than those of the eras before.
 type Revision uint64
 
-// numberBits are those of a revision's number; the rest is the era.
+// numberBits is the number of low bits that hold the number; the rest hold the era.
 const numberBits = 44
 
-// NewRevision returns a revision of an era. It is wrong for numbers from 1<<44 on, a thousand
-// changes a second for 500 years.
+// NewRevision returns a revision of an era. The number must be below 1<<44, which lasts for 500
+// years at a thousand changes per second.
 func NewRevision(era, number uint64) Revision { return Revision(era<<numberBits | number) }
 
-// Era is how often the record came back from an older copy before.
+// Era returns how often the store had been restored from an older copy.
 func (r Revision) Era() uint64 { return uint64(r) >> numberBits }
 
-// Number is the revision as the platform counts it.
+// Number returns the revision number that the platform assigned.
 func (r Revision) Number() uint64 { return uint64(r) & (1<<numberBits - 1) }
 
-// String returns "number" or "era/number".
+// String returns "number" or, in eras after the first, "era/number".
 func (r Revision) String() string {
 	if r.Era() == 0 {
 		return fmt.Sprint(r.Number())
--- a/directory/revision_test.go
+++ b/directory/revision_test.go
@@ -16,8 +16,8 @@
 	assert.Equal(t, old.String(), "1099511627776")
 }
 
-// Guards against using a target that an older copy shows again, and against leaving out for good
-// one that has come back.
+// Guards against using a removed target because a restored copy lists it again, and against
+// never using one that has returned.
 func TestTargetThatWasGoneBeforeACopyIsUsedOnceItStaysListed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	used := func(s *State, at time.Time) int {
@@ -40,11 +40,11 @@
 			end := Target{ID: "a", Revision: NewRevision(1, 13), Removed: true}
 			s.Merge(now.Add(time.Second), Changes{Revision: end.Revision, Targets: []Target{end}})
 		}
-		s.Merge(now.Add(lateFor), Changes{})
+		s.Merge(now.Add(staleEntryDelay), Changes{})
 		want := 1
 		if gone {
 			want = 0
 		}
-		assert.Equal(t, used(s, now.Add(lateFor)), want)
+		assert.Equal(t, used(s, now.Add(staleEntryDelay)), want)
 	}
 }
--- a/directory/services.go
+++ b/directory/services.go
@@ -9,28 +9,28 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Usable is a target that may be used.
+// Usable is a target that may get requests.
 type Usable struct {
 	Target
-	// FirstSeen is when this host first heard of the target's run, ListedAt of the entry at
-	// hand.
+	// FirstSeen is when this host first heard of the target's incarnation, ListedAt when it
+	// received the current entry.
 	FirstSeen time.Time
 	ListedAt  time.Time
 }
 
-// service is the targets of one service that are in use, sorted by ID.
+// service is the list of usable targets of one service, sorted by ID.
 type service struct {
-	targets []*known
-	// changed is set until the service is shown; see State.Changed.
+	targets []*targetState
+	// changed is set until the service is visited; see State.Changed.
 	changed bool
 }
 
 func (v *service) find(id ports.HostID) (int, bool) {
-	return slices.BinarySearchFunc(v.targets, id, func(k *known, id ports.HostID) int { return cmp.Compare(k.ID, id) })
+	return slices.BinarySearchFunc(v.targets, id, func(k *targetState, id ports.HostID) int { return cmp.Compare(k.ID, id) })
 }
 
-// put lists a target, in the place of its former entry if there is one.
-func (v *service) put(k *known) {
+// put adds a target or replaces its previous entry.
+func (v *service) put(k *targetState) {
 	k.changed, v.changed = true, true
 	i, found := v.find(k.ID)
 	if found {
@@ -40,8 +40,8 @@
 	v.targets = slices.Insert(v.targets, i, k)
 }
 
-// drop takes a target off the list, if it is there.
-func (v *service) drop(k *known) {
+// drop removes a target if it is on the list.
+func (v *service) drop(k *targetState) {
 	if v == nil {
 		return
 	}
@@ -51,8 +51,8 @@
 	}
 }
 
-// replace lists a target in place of its former entry, which may have been of another service.
-func (s *State) replace(old, k *known) {
+// replace lists a target in place of its previous entry, which may belong to another service.
+func (s *State) replace(old, k *targetState) {
 	if old != nil && old.Service != k.Service {
 		s.services[old.Service].drop(old)
 	}
@@ -63,22 +63,22 @@
 	}
 	v.put(k)
 	delete(s.removed, k.ID)
-	delete(s.late, k.ID)
-	if k.lateWord != nil {
-		s.late[k.ID] = k
+	delete(s.stale, k.ID)
+	if k.stale != nil {
+		s.stale[k.ID] = k
 	}
 }
 
-// settle brings the lists up to a moment, and returns when they change next by themselves; the
-// zero time if they do not.
-func (s *State) settle(now time.Time) (next time.Time) {
-	s.acceptLate(now)
-	for _, k := range s.late {
-		next = earlier(next, k.lateWord.until)
+// expire applies what is due by a time, and returns when the lists next change by themselves;
+// zero if they do not.
+func (s *State) expire(now time.Time) (next time.Time) {
+	s.acceptStale(now)
+	for _, k := range s.stale {
+		next = earlier(next, k.stale.until)
 	}
 	for _, k := range s.removed {
-		if now.Before(k.goneAt) {
-			next = earlier(next, k.goneAt)
+		if now.Before(k.usableUntil) {
+			next = earlier(next, k.usableUntil)
 			continue
 		}
 		s.services[k.Service].drop(k)
@@ -86,7 +86,7 @@
 	return next
 }
 
-// earlier returns the earlier of two moments; the zero time is none.
+// earlier returns the earlier of two times; zero means none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
@@ -94,10 +94,10 @@
 	return a
 }
 
-// Usable returns the targets in use at a moment, sorted by ID, and when that
-// changes next by itself; the zero time if it does not.
+// Usable returns the usable targets, sorted by ID, and when they next change by themselves; zero
+// if they do not.
 func (s *State) Usable(now time.Time) (list []Usable, next time.Time) {
-	next = s.settle(now)
+	next = s.expire(now)
 	for _, v := range s.services {
 		for _, k := range v.targets {
 			list = append(list, k.Usable)
@@ -107,10 +107,10 @@
 	return list, next
 }
 
-// Changed returns the services whose targets in use are not those that Shown told of, and when
-// that changes next by itself; the zero time if it does not.
+// Changed returns the services whose usable targets have changed since VisitTargets last yielded
+// them, and when that changes next by itself; zero if it does not.
 func (s *State) Changed(now time.Time) (services []string, next time.Time) {
-	next = s.settle(now)
+	next = s.expire(now)
 	for name, v := range s.services {
 		if v.changed {
 			services = append(services, name)
@@ -128,7 +128,7 @@
 	return names
 }
 
-// Count returns how many targets of a service are in use.
+// Count returns the number of usable targets of a service.
 func (s *State) Count(name string) int {
 	if v := s.services[name]; v != nil {
 		return len(v.targets)
@@ -136,9 +136,9 @@
 	return 0
 }
 
-// Show yields the targets in use of a service, sorted by ID, each with whether it has changed
-// since it was last shown.
-func (s *State) Show(name string) iter.Seq2[*Usable, bool] {
+// VisitTargets yields the usable targets of a service, sorted by ID, each with whether it has
+// changed since it was last yielded. It resets these marks.
+func (s *State) VisitTargets(name string) iter.Seq2[*Usable, bool] {
 	return func(yield func(*Usable, bool) bool) {
 		v := s.services[name]
 		if v == nil {
--- a/directory/state_test.go
+++ b/directory/state_test.go
@@ -14,7 +14,7 @@
 
 var now = time.Unix(1000, 0)
 
-// randomSteps is a history of configurations and targets, one step for each change.
+// randomSteps returns a history of configurations and targets, one change per step.
 func randomSteps(rng *rand.Rand) []Changes {
 	var steps []Changes
 	version := uint64(1)
@@ -36,7 +36,7 @@
 	return steps
 }
 
-func merged(steps []Changes) *State {
+func stateAfter(steps []Changes) *State {
 	s := NewState()
 	for _, c := range steps {
 		s.Merge(now, c)
@@ -44,7 +44,7 @@
 	return s
 }
 
-func view(s *State) map[ports.HostID]Target {
+func usableTargets(s *State) map[ports.HostID]Target {
 	list, _ := s.Usable(now)
 	out := make(map[ports.HostID]Target)
 	for _, u := range list {
@@ -53,50 +53,50 @@
 	return out
 }
 
-// Two watchers pass the same changes on, some arrive twice and some late. A host must
-// know the same in the end, whatever the order.
+// Guards against hosts that end up with different states: two watchers forward the same changes,
+// and some arrive twice or late.
 func TestMergeDoesNotDependOnOrder(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		steps := randomSteps(rng)
-		want := merged(steps)
+		want := stateAfter(steps)
 		mixed := append(append([]Changes(nil), steps...), steps[rng.IntN(len(steps)):]...)
 		rng.Shuffle(len(mixed), func(i, j int) { mixed[i], mixed[j] = mixed[j], mixed[i] })
-		got := merged(mixed)
+		got := stateAfter(mixed)
 		assert.Equal(t, got.Config().Version, want.Config().Version, "seed %d", seed)
 		assert.Equal(t, got.Newest(), want.Newest(), "seed %d", seed)
-		assert.DeepEqual(t, view(got), view(want))
+		assert.DeepEqual(t, usableTargets(got), usableTargets(want))
 	}
 }
 
-// A host that knows nothing, or less, takes over all that another one knows, and what
-// is gone there stays gone.
+// A host that has no state, or lacks some of it, must get all of it by a snapshot, and must not
+// bring removed targets back.
 func TestWholeBringsAHostUpToDate(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 1))
 	steps := randomSteps(rng)
-	full := merged(steps)
+	full := stateAfter(steps)
 	for _, n := range []int{0, 10, 40} {
-		behind := merged(steps[:n])
-		behind.Merge(now, full.Whole(now, 0, behind.Buckets()))
-		assert.DeepEqual(t, view(behind), view(full))
+		behind := stateAfter(steps[:n])
+		behind.Merge(now, full.Snapshot(now, 0, behind.Buckets()))
+		assert.DeepEqual(t, usableTargets(behind), usableTargets(full))
 		assert.Equal(t, behind.Config().Version, full.Config().Version)
 	}
 }
 
-// A reading of the whole list drops what it does not name, but not what was listed
-// after it was made.
+// A complete list removes the targets that it does not contain, but not those that were listed
+// after it was read.
 func TestWholeListDropsWhatItDoesNotName(t *testing.T) {
 	s := NewState()
 	s.Merge(now, Changes{Revision: 5, AllTargets: true, Targets: []Target{{ID: "a", Revision: 2}, {ID: "b", Revision: 3}}})
 	s.Merge(now, Changes{Revision: 9, Targets: []Target{{ID: "c", Revision: 9}}})
 	s.Merge(now, Changes{Revision: 7, AllTargets: true, Targets: []Target{{ID: "a", Revision: 2}}})
-	got := view(s)
+	got := usableTargets(s)
 	assert.Equal(t, len(got), 2)
 	assert.Check(t, got["a"].ID == "a" && got["c"].ID == "c")
 }
 
-// A target whose entry went without a drain is used for as long as it is held, one
-// that was draining not at all.
+// A target whose entry was removed without draining is used until its hold ends, one that was
+// draining not at all.
 func TestHeldTargets(t *testing.T) {
 	s := NewState()
 	s.Merge(now, Changes{Targets: []Target{{ID: "a", Revision: 1}, {ID: "b", Revision: 2, Draining: true}}})
@@ -108,8 +108,8 @@
 	assert.Equal(t, len(list), 0)
 }
 
-// A host that missed a version gets a delta that begins at it. It must stay where it
-// is, until it asks for the whole.
+// A host that missed a version receives a delta based on it. It must keep its configuration
+// until it fetches the whole one.
 func TestDeltaFromAMissedVersionIsPassedOver(t *testing.T) {
 	s := NewState()
 	s.Merge(now, Changes{Config: &routing.Config{Version: 3}})
@@ -119,57 +119,57 @@
 	assert.Equal(t, s.Config().Version, uint64(5))
 }
 
-// A watcher that reads the record whole passes on only what was new to it. A host that
-// knew as much must know the same afterwards, and the two must agree on the digest; a
-// difference must show in it.
-func TestNewsBringAHostAsFarAsTheWholeStep(t *testing.T) {
+// A watcher that reads the whole store forwards only what was new to it. A host with the same
+// previous state must end up with the same state and the same digest, and the digest must have
+// changed.
+func TestNewChangesBringAHostAsFarAsTheFullRead(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		steps := randomSteps(rng)
-		early, whole := steps[:40], merged(steps)
-		watcher, host := merged(early), merged(early)
+		early, whole := steps[:40], stateAfter(steps)
+		watcher, host := stateAfter(early), stateAfter(early)
 		before := host.Digest()
 		reading := Changes{Revision: 80, AllTargets: true, Config: whole.Config()}
-		for _, target := range view(whole) {
+		for _, target := range usableTargets(whole) {
 			reading.Targets = append(reading.Targets, target)
 		}
-		news := watcher.Take(now, reading)
-		host.Take(now, news)
-		assert.DeepEqual(t, view(host), view(watcher))
+		applied := watcher.Apply(now, reading)
+		host.Apply(now, applied)
+		assert.DeepEqual(t, usableTargets(host), usableTargets(watcher))
 		assert.Equal(t, host.Digest(), watcher.Digest())
 		assert.Equal(t, host.Digest(), whole.Digest())
 		assert.Check(t, before != host.Digest(), "seed %d", seed)
-		assert.Check(t, watcher.Take(now, reading).Empty(), "nothing of it is new any more")
+		assert.Check(t, watcher.Apply(now, reading).Empty(), "the same read was new again")
 	}
 }
 
-// A host that lacks some changes of a large list is told the parts of it that differ, not
-// all, and knows the same afterwards; one that lacks nothing is told no target.
+// A host that lacks a few changes of a large list must receive only the parts that differ, and
+// then have the same list; a host that lacks nothing must receive no target.
 func TestHostThatLacksLittleIsToldLittle(t *testing.T) {
 	whole := Changes{Revision: 3000, AllTargets: true}
 	for i := range 3000 {
 		whole.Targets = append(whole.Targets, Target{ID: ports.HostID(fmt.Sprint("t", i)), Revision: Revision(i + 1)})
 	}
 	ahead, behind := NewState(), NewState()
-	ahead.Take(now, whole)
-	behind.Take(now, behindOf(ahead))
-	assert.DeepEqual(t, view(behind), view(ahead))
-	ahead.Take(now, Changes{Revision: 3003, Targets: []Target{
+	ahead.Apply(now, whole)
+	behind.Apply(now, fullSnapshot(ahead))
+	assert.DeepEqual(t, usableTargets(behind), usableTargets(ahead))
+	ahead.Apply(now, Changes{Revision: 3003, Targets: []Target{
 		{ID: "t7", Revision: 3001, Draining: true},
 		{ID: "t8", Revision: 3002, Removed: true},
 		{ID: "new", Revision: 3003},
 	}})
 	ahead.Advance(3003)
-	step := ahead.Whole(now, 0, behind.Buckets())
+	step := ahead.Snapshot(now, 0, behind.Buckets())
 	assert.Check(t, len(step.Targets) < 250, "%d targets", len(step.Targets))
-	behind.Take(now, step)
-	assert.DeepEqual(t, view(behind), view(ahead))
+	behind.Apply(now, step)
+	assert.DeepEqual(t, usableTargets(behind), usableTargets(ahead))
 	assert.Equal(t, behind.Newest(), ahead.Newest())
-	again := ahead.Whole(now, 0, behind.Buckets())
+	again := ahead.Snapshot(now, 0, behind.Buckets())
 	assert.Equal(t, len(again.Targets), 0)
-	behind.Take(now, again)
-	assert.DeepEqual(t, view(behind), view(ahead)) // nothing is dropped for want of a name
+	behind.Apply(now, again)
+	assert.DeepEqual(t, usableTargets(behind), usableTargets(ahead)) // targets outside the sent parts are kept
 }
 
-// behindOf is what a host without any list is told.
-func behindOf(s *State) Changes { return s.Whole(now, 0, NewState().Buckets()) }
+// fullSnapshot returns what a host without any targets is sent.
+func fullSnapshot(s *State) Changes { return s.Snapshot(now, 0, NewState().Buckets()) }
