--- a/controller/watch/confirm.go
+++ b/controller/watch/confirm.go
@@ -52,7 +52,7 @@
 // that configuration or the answer is stale. Nor do later answers without changes, until one
 // carries the current configuration. c.mu must be held.
 func (c *Controller) noteConfig(w *storeWatch, ch directory.Changes, at time.Time) {
-	other := ch.ConfigUnread || ch.Config != nil && ch.Config.Version != c.version()
+	other := ch.ConfigUnreadable || ch.Config != nil && ch.Config.Version != c.version()
 	switch {
 	case other:
 		w.configAt = time.Time{}
--- a/controller/watch/confirm_test.go
+++ b/controller/watch/confirm_test.go
@@ -52,8 +52,8 @@
 			"no change after it":       {[]directory.Changes{{Config: config(5)}, {}}, true},
 			"a stale read":             {[]directory.Changes{{Config: config(5)}, {Config: config(4)}, {}}, false},
 			"a newer one, rejected":    {[]directory.Changes{{Config: config(5)}, {Config: config(6)}, {}}, false},
-			"an unreadable one":        {[]directory.Changes{{Config: config(5)}, {ConfigUnread: true}, {}}, false},
-			"the current one, at last": {[]directory.Changes{{ConfigUnread: true}, {Config: config(5)}}, true},
+			"an unreadable one":        {[]directory.Changes{{Config: config(5)}, {ConfigUnreadable: true}, {}}, false},
+			"the current one, at last": {[]directory.Changes{{ConfigUnreadable: true}, {Config: config(5)}}, true},
 		} {
 			w := new(storeWatch)
 			for _, ch := range tc.answers {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -79,7 +79,7 @@
 	Config *routing.Config `msgpack:"config"`
 	// ConfigUnreadable is set in an answer of the store whose configuration can not be decoded,
 	// so that the current one is not the newest.
-	ConfigUnread bool `msgpack:"-"`
+	ConfigUnreadable bool `msgpack:"-"`
 	// Waited is how long the store held a watch that it then answered without any change; 0 for
 	// other answers.
 	Waited time.Duration `msgpack:"-"`
--- a/internal/fakes/record/record.go
+++ b/internal/fakes/record/record.go
@@ -292,7 +292,7 @@
 			<-ctx.Done()
 			return directory.Changes{}, ctx.Err()
 		}
-		if err != nil || !ch.Empty() || ch.ConfigUnread {
+		if err != nil || !ch.Empty() || ch.ConfigUnreadable {
 			return ch, err
 		}
 		select {
@@ -342,7 +342,7 @@
 // addConfig adds the configuration to an answer. It is called with the lock held.
 func (r *Record) addConfig(ch *directory.Changes) {
 	ch.Config = r.config
-	ch.ConfigUnread = r.config == nil && r.configAt > 0
+	ch.ConfigUnreadable = r.config == nil && r.configAt > 0
 }
 
 // hostsTopic stands for the list of hosts, which is in a table of its own.
