--- a/directory/evacuation_model_test.go
+++ b/directory/evacuation_model_test.go
@@ -52,7 +52,7 @@
 
 func modelZone(i int) string { return string(rune('a' + i)) }
 
-// clone returns a deep copy.
+// clone returns a copy that can be changed independently.
 func (s modelState) clone() modelState {
 	for i := range s.hosts {
 		s.hosts[i].zones = maps.Clone(s.hosts[i].zones)
--- a/directory/incarnation.go
+++ b/directory/incarnation.go
@@ -8,7 +8,8 @@
 // that time.
 const staleEntryDelay = 5 * time.Second
 
-// staleEntry is an entry of an earlier incarnation of a target that is held back.
+// staleEntry is an entry that is held back: one of an earlier incarnation of a target, or one that
+// a restored copy of the store holds for a removed target.
 //
 // A write of a previous incarnation may reach the store after the first write of the next, so it
 // is not applied at once. The clock of a target's host may also have been set back, which makes
@@ -39,7 +40,7 @@
 // listed.
 func (k *targetState) unusable(now time.Time) bool { return k.Removed && !now.Before(k.usableUntil) }
 
-// holdStale holds back an entry of an earlier incarnation and reports whether that is new.
+// holdStale holds back an entry and reports whether that is new; see staleEntry.
 func (s *State) holdStale(now time.Time, k *targetState, t Target) bool {
 	if t.Revision <= k.Revision || k.stale != nil && t.Revision <= k.stale.Revision {
 		return false
@@ -53,8 +54,7 @@
 	return true
 }
 
-// acceptStale accepts entries of earlier incarnations that nothing has replaced for
-// staleEntryDelay.
+// acceptStale accepts held-back entries that nothing has replaced for staleEntryDelay.
 func (s *State) acceptStale(now time.Time) {
 	for _, k := range s.stale {
 		if !now.Before(k.stale.until) {
--- a/directory/state.go
+++ b/directory/state.go
@@ -56,8 +56,7 @@
 	Usable
 	// usableUntil is when a removed target stops being used; zero for one that is not removed.
 	usableUntil time.Time
-	// stale is an entry of an earlier incarnation that stands in the store; nil if there is
-	// none.
+	// stale is a held-back entry of the target; nil if there is none.
 	stale *staleEntry
 	// changed is set until the target is visited; see State.Changed.
 	changed bool
