--- a/cactusproxy.go
+++ b/cactusproxy.go
@@ -109,7 +109,7 @@
 	probes     *probes.Controller
 
 	callers   daemon.Callers
-	answers   *entry.OwnAnswers
+	answers   *entry.ServerResponseMonitor
 	operators *http.Server
 
 	aborted chan struct{}
--- a/controller/watch/denial_test.go
+++ b/controller/watch/denial_test.go
@@ -38,10 +38,10 @@
 		Board:      board,
 		Dispatcher: full{},
 		Metrics:    metrics.New(),
-		Fresh:      func() bool { return true },
+		ConfigFresh:      func() bool { return true },
 		Contract:   &targetapi.Contract{},
 		Finder:     entry.NewRouteFinder(board, c),
-	}).Calls()
+	}).ProxyHandler()
 }
 
 // denies reports whether a caller of a path is told that there is no such route.
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -25,14 +25,14 @@
 	Metrics    *metrics.Set
 	// Contract names the headers; nil stands for targetapi.Default.
 	Contract *targetapi.Contract
-	// Heard, if set, is told what targets say of themselves in their answers.
-	Heard pick.Listener
+	// SignalListener, if set, is told what targets say of themselves in their answers.
+	SignalListener pick.Listener
 	// Retries pays for further attempts; nil stands for the ratio that each
 	// workspace declares.
 	Retries RetryBudget
-	// HoldAnswers, if not 0, has small answers read whole before they are passed on, as
+	// ResponseBufferBytes, if not 0, has small answers read whole before they are passed on, as
 	// many as fit into this memory in bytes.
-	HoldAnswers int64
+	ResponseBufferBytes int64
 }
 
 // RetryBudget pays for further attempts of a service's calls. Implementations are
@@ -42,9 +42,9 @@
 	Call(service blackboard.ServiceKey, now time.Time)
 	// Take pays for one further attempt and reports whether the budget had it.
 	Take(service blackboard.ServiceKey, now time.Time) bool
-	// TakeSecond pays for a second attempt while the first is in flight, and reports
+	// TakeHedge pays for a second attempt while the first is in flight, and reports
 	// whether the part of the budget for these had it.
-	TakeSecond(service blackboard.ServiceKey, now time.Time) bool
+	TakeHedge(service blackboard.ServiceKey, now time.Time) bool
 }
 
 // Quarantine keeps requests that crash targets from more of them;
@@ -78,10 +78,10 @@
 	}
 	return &Dispatcher{
 		contract: deps.Contract,
-		heard:    deps.Heard,
+		heard:    deps.SignalListener,
 		retries:  deps.Retries,
 
-		held: newHeldAnswers(deps.HoldAnswers),
+		held: newHeldAnswers(deps.ResponseBufferBytes),
 
 		board:    deps.Board,
 		picker:   deps.Picker,
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -171,7 +171,7 @@
 func (*budgetOf) Call(blackboard.ServiceKey, time.Time)      {}
 func (*budgetOf) Take(blackboard.ServiceKey, time.Time) bool { return false }
 
-func (b *budgetOf) TakeSecond(blackboard.ServiceKey, time.Time) bool {
+func (b *budgetOf) TakeHedge(blackboard.ServiceKey, time.Time) bool {
 	b.seconds--
 	return b.seconds >= 0
 }
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -143,7 +143,7 @@
 // payHedge pays for a second attempt while the first is in flight.
 func (d *Dispatcher) payHedge(c *Call) bool {
 	if d.retries != nil {
-		return d.retries.TakeSecond(c.Key, time.Now())
+		return d.retries.TakeHedge(c.Key, time.Now())
 	}
 	return d.workspace(c.Workspace).takeHedge(time.Now())
 }
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -62,7 +62,7 @@
 	leave      *leave.Controller
 
 	callers   daemon.Callers
-	answers   *entry.OwnAnswers
+	answers   *entry.ServerResponseMonitor
 	readiness *http.Server
 	operators *http.Server
 }
--- a/edge/provision.go
+++ b/edge/provision.go
@@ -178,22 +178,22 @@
 		Quarantine:  d.quarantine,
 		Metrics:     d.metrics,
 		Contract:    d.platform.Contract,
-		Heard:       d.heard,
+		SignalListener:       d.heard,
 		Retries:     newRetries(d.settings.Retries, d.board),
-		HoldAnswers: d.answerMemory(),
+		ResponseBufferBytes: d.answerMemory(),
 	})
 	d.entry = entry.New(entry.Deps{
 		Board:      d.board,
 		Dispatcher: dispatcher,
 		Metrics:    d.metrics,
 		BodyMemory: d.bodyMemory(),
-		LinkBytes:  d.settings.LinkMbps * 1e6 / 8,
-		Watches:    d.watch.Watches,
-		Fresh:      func() bool { return true },
+		LinkBytesPerSecond:  d.settings.LinkMbps * 1e6 / 8,
+		WatchesStore:    d.watch.Watches,
+		ConfigFresh:      func() bool { return true },
 		Contract:   d.platform.Contract,
 		Finder:     entry.NewRouteFinder(d.board, d.watch),
 		Quota:      d.quota,
-		Calls:      calllog.New(d.log, d.metrics),
+		CallLog:      calllog.New(d.log, d.metrics),
 		AwaitStart: d.watch.AwaitStart,
 	})
 }
@@ -221,7 +221,7 @@
 		header = defaultMaxHeader
 	}
 	callers := &http.Server{
-		Handler:           d.entry.Calls(),
+		Handler:           d.entry.ProxyHandler(),
 		MaxHeaderBytes:    header,
 		ReadHeaderTimeout: d.settings.Callers.ReadHeaderTimeout.Or(defaultCallerHeader),
 		IdleTimeout:       d.settings.Callers.IdleTimeout.Or(defaultIdle),
@@ -229,8 +229,8 @@
 		// OPTIONS * is a request like any other: net/http would answer it with 200.
 		DisableGeneralOptionsHandler: true,
 	}
-	d.answers = entry.NewOwnAnswers(d.log, d.metrics, d.platform.Contract.RequestID)
-	d.answers.Watch(callers)
+	d.answers = entry.NewServerResponseMonitor(d.log, d.metrics, d.platform.Contract.RequestID)
+	d.answers.Attach(callers)
 	d.callers = daemon.Callers{
 		Server:   callers,
 		Listener: d.answers.Listener(d.listeners.callers),
--- a/edge/retries.go
+++ b/edge/retries.go
@@ -51,8 +51,8 @@
 // for requests that were refused or failed, which have no answer otherwise.
 const secondsPart = 0.8
 
-// TakeSecond implements dispatch.RetryBudget.
-func (r *retries) TakeSecond(key blackboard.ServiceKey, now time.Time) bool {
+// TakeHedge implements dispatch.RetryBudget.
+func (r *retries) TakeHedge(key blackboard.ServiceKey, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.window(key)
--- a/entry/call.go
+++ b/entry/call.go
@@ -29,7 +29,7 @@
 
 // logged serves a call and tells the log of calls about it.
 func (s *Server) logged(w http.ResponseWriter, r *http.Request) {
-	if s.deps.Calls == nil {
+	if s.deps.CallLog == nil {
 		s.route(w, r, &calllog.Call{})
 		return
 	}
@@ -40,7 +40,7 @@
 		Path:    r.URL.Path,
 		Arrived: time.Now(),
 	}
-	defer func() { s.deps.Calls.Ended(*c) }()
+	defer func() { s.deps.CallLog.Ended(*c) }()
 	s.route(w, r, c)
 }
 
@@ -60,7 +60,7 @@
 		s.awaitStart(r)
 		status = s.deps.Board.Status.Load()
 	}
-	if !status.Serving() || !s.deps.Fresh() {
+	if !status.Serving() || !s.deps.ConfigFresh() {
 		s.refuse(w, c, refuseKey(r, outcome.Refuse(outcome.ReasonNotReady)))
 		return
 	}
--- a/entry/denial_test.go
+++ b/entry/denial_test.go
@@ -45,13 +45,13 @@
 	board.Confirmation.Store(heard)
 	log := new(calls)
 	s.deps.Finder = NewRouteFinder(board, nobody{})
-	s.deps.Calls = log
+	s.deps.CallLog = log
 	return s, log
 }
 
 func askNowhere(s *Server) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
-	s.Calls().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://auction.example/nowhere/", nil))
+	s.ProxyHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://auction.example/nowhere/", nil))
 	return w
 }
 
@@ -104,7 +104,7 @@
 			r := httptest.NewRequest(http.MethodPost, "http://auction.example/lots/", strings.NewReader("eleven byte"))
 			r.ContentLength = length
 			w := httptest.NewRecorder()
-			s.Calls().ServeHTTP(w, r)
+			s.ProxyHandler().ServeHTTP(w, r)
 			assert.Equal(t, w.Code, want, "length %d, newest %d", length, newest)
 			assert.Equal(t, log.last.ConfigVersion, uint64(2))
 		}
--- a/entry/early_test.go
+++ b/entry/early_test.go
@@ -84,13 +84,13 @@
 	m := metrics.New()
 	pools := upstream.New(upstream.Options{})
 	d := dispatch.New(dispatch.Deps{
-		Board: board, Picker: oneTarget(back.Listener.Addr().String()), Upstream: pools, Metrics: m, HoldAnswers: 1 << 20,
+		Board: board, Picker: oneTarget(back.Listener.Addr().String()), Upstream: pools, Metrics: m, ResponseBufferBytes: 1 << 20,
 	})
-	s := New(Deps{Board: board, Dispatcher: d, Metrics: m, BodyMemory: 1 << 20, Fresh: func() bool { return true }})
+	s := New(Deps{Board: board, Dispatcher: d, Metrics: m, BodyMemory: 1 << 20, ConfigFresh: func() bool { return true }})
 	front := httptest.NewUnstartedServer(s)
-	own := NewOwnAnswers(zap.NewNop(), m, "")
+	own := NewServerResponseMonitor(zap.NewNop(), m, "")
 	front.Listener = own.Listener(front.Listener)
-	own.Watch(front.Config)
+	own.Attach(front.Config)
 	front.Start()
 	t.Cleanup(func() {
 		front.CloseClientConnections()
--- a/entry/ownanswers.go
+++ b/entry/ownanswers.go
@@ -29,13 +29,13 @@
 	statusEncrypted = "encrypted"
 )
 
-// OwnAnswers notices the answers that net/http's server gives by itself: to a request that
+// ServerResponseMonitor notices the answers that net/http's server gives by itself: to a request that
 // it can not or will not read (400, 417, 431, 501, 505), which reaches no handler. They are
 // counted by status in answers_of_http, and a line is written for each, within a bound.
 //
 // Each write of a connection costs one atomic load. A write before the handler has taken
 // the request is net/http's own.
-type OwnAnswers struct {
+type ServerResponseMonitor struct {
 	requestID string
 	log       *zap.Logger
 	limiter   *rate.Limiter
@@ -43,10 +43,10 @@
 	dropped   *expvar.Int
 }
 
-// NewOwnAnswers returns a watch without a server. The header requestID, if it is not empty,
+// NewServerResponseMonitor returns a watch without a server. The header requestID, if it is not empty,
 // names the calls of a connection.
-func NewOwnAnswers(log *zap.Logger, m *metrics.Set, requestID string) *OwnAnswers {
-	return &OwnAnswers{
+func NewServerResponseMonitor(log *zap.Logger, m *metrics.Set, requestID string) *ServerResponseMonitor {
+	return &ServerResponseMonitor{
 		requestID: requestID,
 		log:       log,
 		limiter:   rate.NewLimiter(ownLinesPerSecond, ownLineBurst),
@@ -55,9 +55,9 @@
 	}
 }
 
-// Watch has a server tell of its connections. It is called before the server serves, on
+// Attach has a server tell of its connections. It is called before the server serves, on
 // what Listener returns.
-func (o *OwnAnswers) Watch(s *http.Server) {
+func (o *ServerResponseMonitor) Attach(s *http.Server) {
 	s.Handler = o.handler(s.Handler)
 	s.ConnState = stateChanged
 	s.ConnContext = func(ctx context.Context, nc net.Conn) context.Context {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (o *OwnAnswers) handler(next http.Handler) http.Handler {
+func (o *ServerResponseMonitor) handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c, _ := r.Context().Value(callerConnKey{}).(*callerConn); c != nil {
 			c.taken(r)
@@ -75,11 +75,11 @@
 }
 
 // Listener returns a listener whose connections are watched.
-func (o *OwnAnswers) Listener(l net.Listener) net.Listener { return &ownListener{l, o} }
+func (o *ServerResponseMonitor) Listener(l net.Listener) net.Listener { return &ownListener{l, o} }
 
 type ownListener struct {
 	net.Listener
-	own *OwnAnswers
+	own *ServerResponseMonitor
 }
 
 // Accept implements net.Listener.
@@ -103,7 +103,7 @@
 // goroutine that serves it.
 type callerConn struct {
 	*net.TCPConn
-	own *OwnAnswers
+	own *ServerResponseMonitor
 	// untaken is set while no handler has the request that is read or due.
 	untaken atomic.Bool
 	// shaken is set once TLS has shaken hands for HTTP/1.
@@ -172,7 +172,7 @@
 	c.untaken.Store(false)
 }
 
-func (o *OwnAnswers) notice(c *callerConn, status, answer string) {
+func (o *ServerResponseMonitor) notice(c *callerConn, status, answer string) {
 	o.byStatus.Add(status, 1)
 	if !o.limiter.Allow() {
 		o.dropped.Add(1)
--- a/entry/ownanswers_test.go
+++ b/entry/ownanswers_test.go
@@ -43,9 +43,9 @@
 		n, _ := io.Copy(io.Discard, r.Body)
 		_, _ = fmt.Fprintf(w, "%d-%s", n, r.URL.Path)
 	}))
-	own := NewOwnAnswers(log, s.metrics, testRequestID)
+	own := NewServerResponseMonitor(log, s.metrics, testRequestID)
 	s.Listener = own.Listener(s.Listener)
-	own.Watch(s.Config)
+	own.Attach(s.Config)
 	s.Config.MaxHeaderBytes = testMaxHeader
 	start(s.Server)
 	t.Cleanup(func() {
@@ -236,9 +236,9 @@
 		if watch {
 			log, err := logging.New(io.Discard, "info")
 			assert.NilError(b, err)
-			own := NewOwnAnswers(log, metrics.New(), testRequestID)
+			own := NewServerResponseMonitor(log, metrics.New(), testRequestID)
 			s.Listener = own.Listener(s.Listener)
-			own.Watch(s.Config)
+			own.Attach(s.Config)
 		}
 		s.Start()
 		defer s.Close()
--- a/entry/server.go
+++ b/entry/server.go
@@ -39,19 +39,19 @@
 	Board      *blackboard.Board
 	Dispatcher Dispatcher
 	Metrics    *metrics.Set
-	// Fresh reports, exactly at the moment of the call, whether the
+	// ConfigFresh reports, exactly at the moment of the call, whether the
 	// configuration was confirmed of late. The board's word follows a pause of
 	// the process by a fraction of a second, in which a host could serve a
 	// configuration that was replaced meanwhile.
-	Fresh func() bool
+	ConfigFresh func() bool
 	// BodyMemory bounds the bodies kept in memory for further attempts, in
 	// bytes over all calls of this host.
 	BodyMemory int64
-	// LinkBytes is what this host's link carries each way, in bytes a second; 0 if not
+	// LinkBytesPerSecond is what this host's link carries each way, in bytes a second; 0 if not
 	// known.
-	LinkBytes float64
-	// Watches reports whether this host watches the store for all others.
-	Watches func() bool
+	LinkBytesPerSecond float64
+	// WatchesStore reports whether this host watches the store for all others.
+	WatchesStore func() bool
 	// IssueKey makes an idempotency key bound to this host, or returns "" if the
 	// settings name no cluster key.
 	IssueKey func(workspace, service, caller string) string
@@ -65,8 +65,8 @@
 	// AwaitStart waits until a host that has just started knows enough to serve,
 	// or ctx ends, and reports which; nil refuses such calls at once.
 	AwaitStart func(ctx context.Context) bool
-	// Calls learns of each call that has ended; nil asks for nothing.
-	Calls CallLog
+	// CallLog learns of each call that has ended; nil asks for nothing.
+	CallLog CallLog
 }
 
 // CallLog learns of calls that have ended.
@@ -127,7 +127,7 @@
 	s := &Server{
 		deps:   deps,
 		memory: semaphore.NewWeighted(deps.BodyMemory),
-		bodies: newBodyPace(deps.LinkBytes, deps.Watches),
+		bodies: newBodyPace(deps.LinkBytesPerSecond, deps.WatchesStore),
 	}
 	s.mux = chi.NewRouter()
 	s.mux.Get(PathReady, s.ready)
@@ -140,9 +140,9 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// Calls serves callers alone: every path leads to a target, none belongs to
+// ProxyHandler serves callers alone: every path leads to a target, none belongs to
 // cactusproxy.
-func (s *Server) Calls() http.Handler { return http.HandlerFunc(s.call) }
+func (s *Server) ProxyHandler() http.Handler { return http.HandlerFunc(s.call) }
 
 // find returns where a request leads, or what its caller is told.
 func (s *Server) find(r *http.Request) (Match, outcome.Result) {
@@ -194,7 +194,7 @@
 }
 
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
-	if s.deps.Board.Status.Load().Ready() && s.deps.Fresh() {
+	if s.deps.Board.Status.Load().Ready() && s.deps.ConfigFresh() {
 		w.WriteHeader(http.StatusOK)
 		return
 	}
@@ -203,7 +203,7 @@
 
 func (s *Server) issueKey(w http.ResponseWriter, r *http.Request) {
 	status := s.deps.Board.Status.Load()
-	if !status.Ready() || !s.deps.Fresh() {
+	if !status.Ready() || !s.deps.ConfigFresh() {
 		s.refuse(w, new(calllog.Call), outcome.Refuse(outcome.ReasonNotReady))
 		return
 	}
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -63,7 +63,7 @@
 	d := &recorder{reply: dispatch.Reply{Result: outcome.Refuse(outcome.ReasonNoTarget)}}
 	s := New(Deps{
 		Board: board, Dispatcher: d, Metrics: metrics.New(), BodyMemory: 1 << 10,
-		Fresh:    func() bool { return true },
+		ConfigFresh:    func() bool { return true },
 		IssueKey: func(w, s, c string) string { return w + "/" + s + "/" + c },
 	})
 	return s, d, board
@@ -280,7 +280,7 @@
 	send := func(ms string) *dispatch.Call {
 		r := httptest.NewRequest(http.MethodGet, "http://a.example/x", nil)
 		r.Header.Set(s.deps.Contract.Timeout, ms)
-		s.Calls().ServeHTTP(httptest.NewRecorder(), r)
+		s.ProxyHandler().ServeHTTP(httptest.NewRecorder(), r)
 		return d.call
 	}
 	for range 20 {
--- a/entry/tenant_test.go
+++ b/entry/tenant_test.go
@@ -68,9 +68,9 @@
 	log := new(calls)
 	s := New(Deps{
 		Board: board, Dispatcher: d, Metrics: metrics.New(), BodyMemory: 1 << 20,
-		Fresh:    func() bool { return true },
+		ConfigFresh:    func() bool { return true },
 		Finder:   NewRouteFinder(board, nobody{}),
-		Calls:    log,
+		CallLog:    log,
 		Contract: &targetapi.Contract{Key: headerKey, Tenant: headerTenant},
 	})
 	k := &keyedServer{Server: s, sent: d, board: board, log: log}
@@ -92,7 +92,7 @@
 		r.Header[headers[i]] = append(r.Header[headers[i]], headers[i+1])
 	}
 	w := httptest.NewRecorder()
-	k.Calls().ServeHTTP(w, r)
+	k.ProxyHandler().ServeHTTP(w, r)
 	return w
 }
 
@@ -219,7 +219,7 @@
 			return
 		}
 		k := newKeyedServer(t, tenantsConfig(1, tenant("school", "secret-1")))
-		k.Calls().ServeHTTP(httptest.NewRecorder(), r)
+		k.ProxyHandler().ServeHTTP(httptest.NewRecorder(), r)
 		if k.sent.call == nil {
 			return
 		}
@@ -299,7 +299,7 @@
 	r := httptest.NewRequest(http.MethodPost, "http://auction.example/lots/7", body)
 	r.Header.Set(headerKey, "key-1")
 	w := httptest.NewRecorder()
-	k.Calls().ServeHTTP(w, r)
+	k.ProxyHandler().ServeHTTP(w, r)
 	assert.Equal(t, w.Code, http.StatusTooManyRequests)
 	assert.Equal(t, body.Len(), len("a body"))
 }
--- a/provision.go
+++ b/provision.go
@@ -292,7 +292,7 @@
 		Ledger:     d.ledger,
 		Quarantine: d.quarantine,
 		Metrics:    d.metrics,
-		Heard:      d.heard,
+		SignalListener:      d.heard,
 	})
 	memory := d.settings.Callers.BodyMemoryBytes
 	if memory == 0 {
@@ -304,7 +304,7 @@
 		Metrics:    d.metrics,
 		BodyMemory: memory,
 		IssueKey:   d.ledger.Issue,
-		Fresh:      d.config.Fresh,
+		ConfigFresh:      d.config.Fresh,
 	})
 	header := d.settings.Callers.MaxHeaderBytes
 	if header == 0 {
@@ -319,8 +319,8 @@
 		// OPTIONS * is a request like any other: net/http would answer it with 200.
 		DisableGeneralOptionsHandler: true,
 	}
-	d.answers = entry.NewOwnAnswers(d.log, d.metrics, targetapi.Default().RequestID)
-	d.answers.Watch(callers)
+	d.answers = entry.NewServerResponseMonitor(d.log, d.metrics, targetapi.Default().RequestID)
+	d.answers.Attach(callers)
 	d.callers = daemon.Callers{Server: callers, InFlight: d.entry.InFlight}
 	if l := d.listeners.callers; l != nil {
 		d.callers.Listener = d.answers.Listener(l)
