--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -18,79 +18,78 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// send is the right to make one attempt.
-type send struct {
+// permit holds what is needed to make one attempt.
+type permit struct {
 	grant pick.Grant
-	// watch tells the quarantine what became of it; nil if nobody asks.
-	watch *quarantine.Attempt
+	// quarantineAttempt receives the result of the attempt; nil without a quarantine.
+	quarantineAttempt *quarantine.Attempt
 	// claim is set for calls with an idempotency key.
 	claim *ledger.Claim
 }
 
-// attempt is one send of a call to one target.
+// attempt is one request sent to one target.
 type attempt struct {
-	send
+	permit
 	cancel context.CancelFunc
 	start  time.Time
-	// observe learns the latency of a whole answer.
+	// observe records the latency of a completely received response.
 	observe func(time.Duration)
 
 	ctx context.Context
-	// held, if set, has a small answer read whole before it is passed on. The answer to a
-	// HEAD has no body, and its length is that of another one.
-	held *heldAnswers
+	// buffers, if set, is used to buffer a small response before it is forwarded. It is nil for
+	// HEAD: the Content-Length of such a response describes a body that is not sent.
+	buffers *responseBuffers
 
 	class  pick.Class
 	reason outcome.Reason
 	resp   *http.Response
-	// status is that of the target's answer, passed on or not; 0 if there was none.
+	// status is the status of the target's response, forwarded or not; 0 without a response.
 	status int
-	// mayHaveRun is set unless no byte left or the target refused the request
-	// before running it.
+	// mayHaveRun is false only if no byte of the request was sent or the target rejected the
+	// request before running it.
 	mayHaveRun bool
-	// said is what the target's answer told of itself.
-	said targetapi.Signals
+	// signals are the signals that the target reported in its response.
+	signals targetapi.Signals
 }
 
-// answered reports whether the attempt has an answer to pass on.
-func (a *attempt) answered() bool { return a.resp != nil }
+// hasResponse reports whether the attempt has a response to forward.
+func (a *attempt) hasResponse() bool { return a.resp != nil }
 
-// good reports whether the attempt has an answer that is not the target's
-// failure.
-func (a *attempt) good() bool { return a.answered() && a.class == pick.OK }
+// succeeded reports whether the attempt has a response to forward that isn't a server error.
+func (a *attempt) succeeded() bool { return a.hasResponse() && a.class == pick.OK }
 
-// attempt makes one attempt and waits for the head of its answer.
-func (d *Dispatcher) attempt(ctx context.Context, c *Call, s send) *attempt {
+// attempt makes one attempt and waits for the response header.
+func (d *Dispatcher) attempt(ctx context.Context, c *Call, p permit) *attempt {
 	ctx, cancel := context.WithCancel(ctx)
 	a := &attempt{
-		send:    s,
+		permit:  p,
 		cancel:  cancel,
 		start:   time.Now(),
 		observe: func(took time.Duration) { d.observe(c.Key, took) },
 		ctx:     ctx,
 	}
 	if c.Method != http.MethodHead {
-		a.held = d.held
+		a.buffers = d.buffers
 	}
-	if s.claim != nil && !s.claim.Sending() {
-		// The host was held up for so long that the claim's row may be gone, and
-		// another send may have taken the key.
+	if p.claim != nil && !p.claim.Sending() {
+		// This host was stalled for so long that the claim's row may have expired and been
+		// claimed by another request with the same key.
 		a.class, a.reason = pick.Canceled, outcome.ReasonKeyExpired
 		a.end(a.class)
 		return a
 	}
-	s.watch.Started(s.grant.Target().Run())
-	req := d.newRequest(ctx, c, s.grant.Target())
-	res := d.upstream.RoundTrip(req, s.grant.Target(), upstream.SendOptions{
+	p.quarantineAttempt.Started(p.grant.Target().Run())
+	req := d.newRequest(ctx, c, p.grant.Target())
+	res := d.upstream.RoundTrip(req, p.grant.Target(), upstream.SendOptions{
 		MaxConns: d.connShare(c),
-		Once:     c.Repeat == Once,
+		Once:     c.Idempotency == NonIdempotent,
 	})
 	if res.Err != nil {
-		a.failed(ctx, res, c.Body.Broken())
+		a.classifyError(ctx, res, c.Body.Aborted())
 		a.end(a.class)
 		return a
 	}
-	d.headReceived(c, a, req, res.Response)
+	d.classifyResponse(c, a, req, res.Response)
 	return a
 }
 
@@ -102,7 +101,7 @@
 		h["User-Agent"] = nil // or net/http would send its own
 	}
 	if name := d.contract.Attempts; name != "" {
-		h.Set(name, strconv.Itoa(c.Attempts))
+		h.Set(name, strconv.Itoa(c.MaxAttempts))
 	}
 	if name := d.contract.Depth; name != "" {
 		h.Set(name, strconv.Itoa(c.Depth+1))
@@ -111,7 +110,7 @@
 		h.Set(name, string(t.ID))
 	}
 	if at, ok := ctx.Deadline(); ok {
-		left := max(0, time.Until(at)-margin)
+		left := max(0, time.Until(at)-timeoutMargin)
 		h.Set(d.contract.Timeout, strconv.FormatInt(left.Milliseconds(), 10))
 	}
 	req := &http.Request{
@@ -128,84 +127,85 @@
 	return req.WithContext(ctx)
 }
 
-// failed classifies an attempt that brought no answer.
-func (a *attempt) failed(ctx context.Context, res upstream.Result, callerBroke bool) {
+// classifyError classifies an attempt that failed without a response.
+func (a *attempt) classifyError(ctx context.Context, res upstream.Result, callerAborted bool) {
 	a.mayHaveRun = res.Sent
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) && res.Sent:
 		a.class, a.reason = pick.TimedOut, outcome.ReasonTargetTimeout
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		// The call came too late; that is not the target's fault.
+		// The deadline passed before the request was sent, which isn't the target's fault.
 		a.class, a.reason = pick.Canceled, outcome.ReasonDeadline
-	case ctx.Err() != nil || callerBroke:
-		// An upload that its caller broke off says nothing about the target: it
-		// must neither be ejected nor the request suspected of crashing it.
+	case ctx.Err() != nil || callerAborted:
+		// An upload that the caller aborted says nothing about the target: the target must not
+		// be ejected, and the request must not be suspected of crashing it.
 		a.class, a.reason = pick.Canceled, outcome.ReasonCallerGone
 	case res.Sent:
 		a.class, a.reason = pick.BrokeOff, outcome.ReasonBrokeOff
 	case errors.Is(res.Err, upstream.ErrConnLimit):
-		// This host's share is used up; that is not the target's fault either.
+		// This host's share of connections is in use, which isn't the target's fault either.
 		a.class, a.reason = pick.Canceled, outcome.ReasonConnLimit
 	default:
 		a.class, a.reason = pick.NotSent, outcome.ReasonConnect
 	}
 }
 
-// headReceived classifies an attempt by the head of its answer. A refusal is the host's to
-// act on; every other answer is passed on only if its target vouches for it.
+// classifyResponse classifies an attempt by its response header. A rejection is handled by this
+// host; every other response is forwarded only if it belongs to the request and is sealed.
 //
-// Bytes that are no answer of the target's own may read as a status that callers take for the last
-// word. A target seals and echoes all that it answers to a request it ran, failures too: without
-// both, the caller is told just that it may have run.
-func (d *Dispatcher) headReceived(c *Call, a *attempt, req *http.Request, resp *http.Response) {
+// Bytes that don't come from the target may read as a status that callers treat as final. A target
+// seals every response to a request that it ran, including failures, and echoes the request ID.
+// If either is missing, the caller is only told that the request may have run.
+func (d *Dispatcher) classifyResponse(c *Call, a *attempt, req *http.Request, resp *http.Response) {
 	ct := d.contract
 	a.status = resp.StatusCode
-	d.hear(c, a, req, resp)
+	d.recordSignals(c, a, req, resp)
 	switch {
 	case !ct.Belongs(req.Header, resp.Header, resp.StatusCode):
-		// The target answered an earlier request a second time, and this answer
-		// stands where the one to this request is due. Nothing on the connection
-		// can be told apart any more.
-		d.foreign(a, resp)
+		// The target responded to an earlier request a second time, in place of the
+		// response to this one. Responses on this connection can no longer be matched to
+		// their requests.
+		d.endForeign(a, resp)
 	case ct.IsMisdirected(resp.StatusCode):
 		a.class, a.reason = pick.Replaced, outcome.ReasonReplaced
 		a.discard(resp, a.class)
 	case ct.IsShed(resp.StatusCode, resp.Header):
-		a.shed(resp)
+		a.endShed(resp)
 	case !ct.Sealed(resp.Header), ct.Promises(resp.StatusCode):
-		// An answer that no target vouches for, or a status that callers would
-		// take for the promise that the request was not run.
-		d.foreign(a, resp)
+		// The response isn't sealed, or its status is one that callers read as a guarantee that
+		// the request did not run.
+		d.endForeign(a, resp)
 	default:
-		a.answer(resp)
+		a.acceptResponse(resp)
 	}
 }
 
-// hear takes in what the target says of itself, whatever came of the request. Neither another
-// target that has the address by now, nor bytes that belong to no request, speak for it.
-func (d *Dispatcher) hear(c *Call, a *attempt, req *http.Request, resp *http.Response) {
+// recordSignals takes in the signals that the target reports, whatever the result of the request.
+// A different target that has taken over the address, or a response that belongs to another
+// request, is ignored.
+func (d *Dispatcher) recordSignals(c *Call, a *attempt, req *http.Request, resp *http.Response) {
 	ct := d.contract
 	if ct.IsMisdirected(resp.StatusCode) || !ct.Belongs(req.Header, resp.Header, resp.StatusCode) {
 		return
 	}
-	a.said = ct.Signals(resp.StatusCode, resp.Header)
-	if d.heard != nil {
-		d.heard(c.Key, a.grant.Target(), a.said)
+	a.signals = ct.Signals(resp.StatusCode, resp.Header)
+	if d.signalListener != nil {
+		d.signalListener(c.Key, a.grant.Target(), a.signals)
 	}
 }
 
-// shed ends an attempt that the target refused before running it.
-func (a *attempt) shed(resp *http.Response) {
+// endShed ends an attempt that the target rejected without running it.
+func (a *attempt) endShed(resp *http.Response) {
 	a.class, a.reason = pick.Shed, outcome.ReasonShed
-	if a.said.Leaving {
+	if a.signals.Leaving {
 		a.class = pick.Leaving
 	}
 	a.discard(resp, a.class)
 }
 
-// foreign ends an attempt whose answer is not its target's to its request. The
-// request may have run all the same.
-func (d *Dispatcher) foreign(a *attempt, resp *http.Response) {
+// endForeign ends an attempt whose response isn't the target's response to this request. The
+// request may still have run.
+func (d *Dispatcher) endForeign(a *attempt, resp *http.Response) {
 	d.metrics.Map("foreign_answers").Add(strconv.Itoa(resp.StatusCode), 1)
 	a.mayHaveRun = true
 	a.class, a.reason = pick.Foreign, outcome.ReasonForeignAnswer
@@ -213,20 +213,20 @@
 	a.end(a.class)
 }
 
-// answer takes an answer to be passed on. A small one is held until it is whole:
-// one that breaks off can then be told from a whole one before the caller has
-// seen any of it, and a call that may be repeated is sent to another target.
-func (a *attempt) answer(resp *http.Response) {
+// acceptResponse takes a response that will be forwarded. A small one is buffered completely, so
+// that a truncated response is detected before any of it has been sent to the caller and an
+// idempotent call can be retried on another target.
+func (a *attempt) acceptResponse(resp *http.Response) {
 	a.mayHaveRun = true
 	a.class, a.reason = pick.OK, outcome.ReasonOK
 	if resp.StatusCode >= http.StatusInternalServerError {
 		a.class = pick.Failed
 	}
-	if a.held == nil {
+	if a.buffers == nil {
 		a.resp = resp
 		return
 	}
-	if err := a.held.hold(resp); err != nil {
+	if err := a.buffers.buffer(resp); err != nil {
 		_ = resp.Body.Close()
 		a.class, a.reason = pick.BrokeOff, outcome.ReasonBrokeOff
 		if a.ctx.Err() != nil {
@@ -241,47 +241,47 @@
 	a.resp = resp
 }
 
-// maxDiscard bounds what is read of an answer that is not passed on, so that
-// its connection can be kept.
+// maxDiscard is how many bytes of a response that isn't forwarded are read, so that its
+// connection can be reused.
 const maxDiscard = 16 << 10
 
-// discard ends an attempt whose answer is not passed on.
+// discard ends an attempt whose response isn't forwarded.
 func (a *attempt) discard(resp *http.Response, class pick.Class) {
 	_, _ = io.CopyN(io.Discard, resp.Body, maxDiscard+1)
 	_ = resp.Body.Close()
 	a.end(class)
 }
 
-// end releases the grant of an attempt.
+// end reports the result of the attempt and releases its grant.
 func (a *attempt) end(class pick.Class) {
 	a.cancel()
 	rep := pick.Report{Class: class, Latency: time.Since(a.start), Load: -1}
 	if class == pick.OK {
 		a.observe(rep.Latency)
 	}
-	if a.said.HasLoad {
-		rep.Load = a.said.Load.Running + a.said.Load.Waiting
-		rep.Work = a.said.Load
+	if a.signals.HasLoad {
+		rep.Load = a.signals.Load.Running + a.signals.Load.Waiting
+		rep.Work = a.signals.Load
 	}
-	rep.LeavingHint = a.said.Leaving
-	a.tellWatch(class)
+	rep.LeavingHint = a.signals.Leaving
+	a.reportQuarantine(class)
 	a.grant.Release(rep)
 }
 
-// tellWatch tells the quarantine how the attempt ended, before the caller learns
-// of it: once the caller knows, it may send the request to any host again.
-func (a *attempt) tellWatch(class pick.Class) {
+// reportQuarantine reports the result to the quarantine. This must happen before the caller gets
+// its reply, since the caller may then send the request again through any host.
+func (a *attempt) reportQuarantine(class pick.Class) {
 	switch class {
 	case pick.OK, pick.Failed:
-		a.watch.Completed()
+		a.quarantineAttempt.Completed()
 	case pick.BrokeOff:
-		a.watch.BrokeOff()
+		a.quarantineAttempt.BrokeOff()
 	case pick.NotSent:
-		// The target can not be reached: what was in flight on it may have broken
-		// off for that, and not for a request.
-		a.watch.NotReached(a.grant.Target().Run())
-		a.watch.Close()
+		// The target is unreachable, so requests in flight on it may have failed for that
+		// reason and not because one of them crashed it.
+		a.quarantineAttempt.NotReached(a.grant.Target().Run())
+		a.quarantineAttempt.Close()
 	default:
-		a.watch.Close()
+		a.quarantineAttempt.Close()
 	}
 }
--- a/dispatch/bench_test.go
+++ b/dispatch/bench_test.go
@@ -14,27 +14,27 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// freePicker grants at once and keeps nothing.
-type freePicker struct{ pick.Grant }
+// nopPicker grants immediately and keeps no state.
+type nopPicker struct{ pick.Grant }
 
-func (p freePicker) Pick(context.Context, pick.Request) (pick.Grant, outcome.Result) {
-	return freeGrant{}, outcome.Result{}
+func (p nopPicker) Pick(context.Context, pick.Request) (pick.Grant, outcome.Result) {
+	return nopGrant{}, outcome.Result{}
 }
 
-type freeGrant struct{}
+type nopGrant struct{}
 
-func (freeGrant) Target() blackboard.Target { return blackboard.Target{ID: "t1"} }
-func (freeGrant) Release(pick.Report)       {}
+func (nopGrant) Target() blackboard.Target { return blackboard.Target{ID: "t1"} }
+func (nopGrant) Release(pick.Report)       {}
 
-// instant answers at once.
-type instant struct{}
+// instantUpstream responds immediately.
+type instantUpstream struct{}
 
-func (instant) RoundTrip(*http.Request, blackboard.Target, upstream.SendOptions) upstream.Result {
-	return upstream.Result{Sent: true, Response: response(http.StatusOK, http.NoBody, 0, nil)}
+func (instantUpstream) RoundTrip(*http.Request, blackboard.Target, upstream.SendOptions) upstream.Result {
+	return upstream.Result{Sent: true, Response: newResponse(http.StatusOK, http.NoBody, 0, nil)}
 }
 
-// BenchmarkCall is what dispatch itself costs: one attempt that is answered at
-// once, without and with a hedge in waiting.
+// BenchmarkCall measures the overhead of dispatch: one attempt with an immediate response, with
+// and without a pending hedge.
 func BenchmarkCall(b *testing.B) {
 	for _, hedge := range []float64{0, 0.02} {
 		name := "plain"
@@ -44,8 +44,8 @@
 		b.Run(name, func(b *testing.B) {
 			board := blackboard.New()
 			defer board.Close()
-			d := New(Deps{Board: board, Picker: freePicker{}, Upstream: instant{}, Metrics: metrics.New()})
-			c := call(http.MethodGet)
+			d := New(Deps{Board: board, Picker: nopPicker{}, Upstream: instantUpstream{}, Metrics: metrics.New()})
+			c := newCall(http.MethodGet)
 			c.Workspace.HedgeRatio = hedge
 			d.observe(c.Key, time.Millisecond)
 			ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
--- a/dispatch/body.go
+++ b/dispatch/body.go
@@ -8,39 +8,37 @@
 	"sync/atomic"
 )
 
-// Body is a request's body: either whole in memory, and then it can be sent any
-// number of times, or a stream, and then it can be sent until its first byte
-// was read.
+// Body is a request body. A body in memory can be sent any number of times; a stream can be sent
+// only as long as none of it has been read.
 type Body struct {
-	mem    []byte
-	stream io.ReadCloser
-	length int64
-	read   atomic.Bool
-	broken atomic.Bool
+	mem     []byte
+	stream  io.ReadCloser
+	length  int64
+	read    atomic.Bool
+	aborted atomic.Bool
 }
 
-// MemoryBody returns a body held in memory.
+// MemoryBody returns a Body held in memory.
 func MemoryBody(b []byte) *Body { return &Body{mem: b, length: int64(len(b))} }
 
-// StreamBody returns a body that is read from r as it is sent; length is -1 if
-// unknown.
+// StreamBody returns a Body that is read from r while it is sent; length is -1 if unknown.
 func StreamBody(r io.ReadCloser, length int64) *Body {
 	return &Body{stream: r, length: length}
 }
 
-// Bytes returns the body if it is in memory.
+// Bytes returns the body if it is held in memory, and false for a stream.
 func (b *Body) Bytes() ([]byte, bool) { return b.mem, b.stream == nil }
 
-// Length returns the length in bytes, or -1 if it is not known.
+// Length returns the length in bytes, or -1 if unknown.
 func (b *Body) Length() int64 { return b.length }
 
-// Replayable reports whether another attempt can send the body.
+// Replayable reports whether another attempt can send the complete body.
 func (b *Body) Replayable() bool { return b.stream == nil || !b.read.Load() }
 
-// Broken reports whether the caller stopped sending before the body's end.
-func (b *Body) Broken() bool { return b.broken.Load() }
+// Aborted reports whether reading the body from the caller failed before its end.
+func (b *Body) Aborted() bool { return b.aborted.Load() }
 
-// reader returns the body for one attempt.
+// reader returns a reader of the body for one attempt.
 func (b *Body) reader() io.ReadCloser {
 	if b.stream != nil {
 		return &streamReader{body: b}
@@ -51,15 +49,15 @@
 	return io.NopCloser(bytes.NewReader(b.mem))
 }
 
-// streamReader marks the body as read. Its Close leaves the stream open, since
-// another attempt may read it if this one did not.
+// streamReader marks the body as read. Close leaves the stream open, because another attempt
+// may still send the body if this one read none of it.
 type streamReader struct{ body *Body }
 
 func (r *streamReader) Read(p []byte) (int, error) {
 	r.body.read.Store(true)
 	n, err := r.body.stream.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
-		r.body.broken.Store(true)
+		r.body.aborted.Store(true)
 	}
 	return n, err
 }
--- /dev/null
+++ b/dispatch/buffer_test.go
@@ -0,0 +1,76 @@
+package dispatch
+
+import (
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/errors"
+	"gotest.tools/v3/assert"
+)
+
+// sizedResponse returns a response of a size, with or without a Content-Length.
+func sizedResponse(size int, withLength bool) *http.Response {
+	length := int64(-1)
+	if withLength {
+		length = int64(size)
+	}
+	return newResponse(200, io.NopCloser(strings.NewReader(strings.Repeat("x", size))), length, nil)
+}
+
+// free returns how much of the limit isn't in use.
+func (h *responseBuffers) free(limit int64) int64 {
+	for n := limit; n > 0; n-- {
+		if h.memory.TryAcquire(n) {
+			h.memory.Release(n)
+			return n
+		}
+	}
+	return 0
+}
+
+// Many callers request large responses at once and read none of them yet. Only as many may be
+// buffered as fit into the memory; the others are streamed, and all must be complete.
+func TestResponsesBeyondTheBufferLimitAreStreamed(t *testing.T) {
+	const limit = 1 << 20
+	h := newResponseBuffers(limit)
+	var open []*http.Response
+	buffered := 0
+	for i := range 100 {
+		resp := sizedResponse(90_000, i%2 == 0)
+		assert.NilError(t, h.buffer(resp))
+		if _, ok := resp.Body.(*bufferedBody); ok {
+			buffered++
+		}
+		open = append(open, resp)
+	}
+	assert.Check(t, buffered >= 4 && buffered*90_000 <= limit, "%d buffered", buffered)
+	for _, resp := range open {
+		b, err := io.ReadAll(resp.Body)
+		assert.NilError(t, err)
+		assert.Equal(t, len(b), 90_000)
+		assert.NilError(t, resp.Body.Close())
+		assert.NilError(t, resp.Body.Close())
+	}
+	assert.Equal(t, h.free(limit), int64(limit))
+}
+
+// The memory of a response must be released however the response ends.
+func TestMemoryOfAnswersIsGivenBack(t *testing.T) {
+	const limit = maxBufferedResponse + 100
+	h := newResponseBuffers(limit)
+	broken := func(length int64) *http.Response {
+		part := io.MultiReader(strings.NewReader("par"), errReader{errors.New("reset")})
+		return newResponse(200, io.NopCloser(part), length, nil)
+	}
+	for _, resp := range []*http.Response{
+		sizedResponse(0, true), sizedResponse(10, false), sizedResponse(maxBufferedResponse, true), sizedResponse(maxBufferedResponse+1, false),
+		sizedResponse(maxBufferedResponse+1, true), broken(10), broken(-1),
+	} {
+		if h.buffer(resp) == nil {
+			assert.NilError(t, resp.Body.Close())
+		}
+		assert.Equal(t, h.free(limit), int64(limit))
+	}
+}
--- a/dispatch/call.go
+++ b/dispatch/call.go
@@ -1,6 +1,9 @@
-// Package dispatch carries out calls: it asks a picker for a target, sends the
-// attempt, decides whether there may be another one, and says honestly how the
-// call ended.
+// Package dispatch executes calls. For each attempt it asks a picker for a target, forwards
+// the request and classifies the result. A failed attempt is retried on another target if the
+// call is idempotent or the request cannot have run, and the retry budget allows it; a slow one
+// may be hedged by a second attempt. The outcome of a call is one of three: answered, not run
+// (no target ran the request, so the caller may repeat it), or unknown (a target may have run
+// it).
 package dispatch
 
 import (
@@ -13,17 +16,17 @@
 	"github.com/cactusproxy/cactusproxy/policy/sizes"
 )
 
-// Repeat says whether an attempt that may have run may be followed by another.
-type Repeat uint8
+// Idempotency says whether a call may be retried after an attempt that may have run.
+type Idempotency uint8
 
 const (
-	// Idempotent calls may be repeated.
-	Idempotent Repeat = iota + 1
-	// Once calls are sent again only if no attempt can have run.
-	Once
+	// Idempotent calls may be retried at any time.
+	Idempotent Idempotency = iota + 1
+	// NonIdempotent calls are retried only if no earlier attempt can have run.
+	NonIdempotent
 )
 
-// Call is one caller's request, read and checked.
+// Call is a parsed and validated request of a caller.
 type Call struct {
 	Workspace *declare.Workspace
 	Service   *declare.Service
@@ -35,62 +38,62 @@
 	Header http.Header
 	Body   *Body
 
-	// Repeat is Once for at-most-once calls and for methods that HTTP does not
-	// call idempotent.
-	Repeat Repeat
-	// AtMostOnce is set for the calls that the workspace declares so.
+	// Idempotency is NonIdempotent for at-most-once calls and for methods that HTTP does not
+	// define as idempotent.
+	Idempotency Idempotency
+	// AtMostOnce is set for calls that the workspace declares as at-most-once.
 	AtMostOnce bool
-	// IdempotencyKey is the caller's key, or empty.
+	// IdempotencyKey is the key sent by the caller; empty if there is none.
 	IdempotencyKey string
-	// Arrived is when the call reached this host.
+	// Arrived is when this host received the call.
 	Arrived time.Time
-	// Waited is how long before that the caller first asked, as far as is known.
-	Waited time.Duration
-	// Allowed, if set, reports whether the call may still run: the caller's API key may have
-	// been taken away since it came.
-	Allowed func() bool
-	// Caller identifies who asks, as far as stored answers go.
+	// PriorWait is how long before Arrived the caller first sent the request, as far as known.
+	PriorWait time.Duration
+	// StillAuthorized, if set, reports whether the call may still run: the caller's API key
+	// may have been revoked since the call arrived.
+	StillAuthorized func() bool
+	// Caller identifies the caller; stored responses are only returned to the same caller.
 	Caller string
 
-	// Attempts is the number of attempts allowed, at least 1.
-	Attempts int
+	// MaxAttempts is the maximum number of attempts, at least 1.
+	MaxAttempts int
 	// Depth is the number of calls that led to this one.
 	Depth int
-	// Objective is the time after the caller first asked within which an answer is worth most;
-	// 0 if nothing was declared.
+	// Objective is the target latency, counted from when the caller first sent the request;
+	// 0 if none is declared.
 	Objective time.Duration
-	// Priority is the rank of the call; 0 is the most urgent.
+	// Priority is the call's priority; 0 is the most urgent.
 	Priority int
-	// Regions are the only ones whose targets may get the call; all if empty.
+	// Regions restricts the targets to these regions; empty allows all.
 	Regions []string
-	// Sizes, if set, learns how large the answers to such calls are.
-	Sizes *sizes.Usual
-	// Suspicion identifies the request for quarantine; 0 if not computed.
-	Suspicion uint64
+	// ResponseSizes, if set, records the sizes of the responses to such calls.
+	ResponseSizes *sizes.Usual
+	// RequestDigest identifies the request to the quarantine; 0 if it was not computed.
+	RequestDigest uint64
 }
 
-// bytes returns how many bytes the body and the answer are likely to have together.
+// bytes estimates the total size of the request body and the response body.
 func (c *Call) bytes() float64 {
 	n := float64(max(0, c.Body.Length()))
-	if c.Sizes != nil {
-		n += c.Sizes.Bytes()
+	if c.ResponseSizes != nil {
+		n += c.ResponseSizes.Bytes()
 	}
 	return n
 }
 
-// allowed reports whether the call may still run.
-func (c *Call) allowed() bool { return c.Allowed == nil || c.Allowed() }
+// authorized reports whether the caller is still authorized.
+func (c *Call) authorized() bool { return c.StillAuthorized == nil || c.StillAuthorized() }
 
-// RepeatOf returns the class of a method as HTTP defines it (RFC 9110, 9.2.2).
-func RepeatOf(method string) Repeat {
+// IdempotencyOf classifies an HTTP method (RFC 9110, section 9.2.2).
+func IdempotencyOf(method string) Idempotency {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions, http.MethodTrace, http.MethodPut, http.MethodDelete:
 		return Idempotent
 	default:
-		return Once
+		return NonIdempotent
 	}
 }
 
-// margin is taken off the time left before it is told to a target, so that the
-// target's refusal arrives before this host gives up.
-const margin = time.Millisecond
+// timeoutMargin is subtracted from the remaining time that is sent to a target, so that the
+// target's own timeout response arrives before this host gives up.
+const timeoutMargin = time.Millisecond
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -14,87 +14,87 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// Deps is what a Dispatcher works with.
+// Deps holds the dependencies and settings of a Dispatcher.
 type Deps struct {
 	Board    *blackboard.Board
 	Picker   pick.Picker
 	Upstream upstream.RoundTripper
 	Ledger   Ledger
-	// Quarantine may be nil.
+	// Quarantine may be nil, in which case no request is quarantined.
 	Quarantine Quarantine
 	Metrics    *metrics.Set
-	// Contract names the headers; nil stands for targetapi.Default.
+	// Contract names the headers exchanged with targets; nil means targetapi.Default.
 	Contract *targetapi.Contract
-	// SignalListener, if set, is told what targets say of themselves in their answers.
+	// SignalListener, if set, receives the signals that targets report in their responses.
 	SignalListener pick.Listener
-	// Retries pays for further attempts; nil stands for the ratio that each
+	// Retries is the budget for retries and hedges; nil means the ratios that each
 	// workspace declares.
 	Retries RetryBudget
-	// ResponseBufferBytes, if not 0, has small answers read whole before they are passed on, as
-	// many as fit into this memory in bytes.
+	// ResponseBufferBytes is the memory for buffering small responses before they are
+	// forwarded. 0 disables buffering.
 	ResponseBufferBytes int64
 }
 
-// RetryBudget pays for further attempts of a service's calls. Implementations are
-// safe for concurrent use.
+// RetryBudget limits retries and hedges per service. Implementations must be safe for
+// concurrent use.
 type RetryBudget interface {
-	// Call notes a call.
+	// Call records a call, which adds to the budget.
 	Call(service blackboard.ServiceKey, now time.Time)
-	// Take pays for one further attempt and reports whether the budget had it.
+	// Take reports whether the budget allows one retry, and deducts it if so.
 	Take(service blackboard.ServiceKey, now time.Time) bool
-	// TakeHedge pays for a second attempt while the first is in flight, and reports
-	// whether the part of the budget for these had it.
+	// TakeSecond reports whether the part of the budget that is reserved for hedges
+	// allows one, and deducts it if so.
 	TakeHedge(service blackboard.ServiceKey, now time.Time) bool
 }
 
-// Quarantine keeps requests that crash targets from more of them;
-// quarantine.Quarantine is one.
+// Quarantine limits attempts of requests that are suspected of crashing targets. It is
+// implemented by quarantine.Quarantine.
 type Quarantine interface {
 	Admit(ctx context.Context, digest uint64) (*quarantine.Attempt, quarantine.Decision)
 }
 
-// Dispatcher carries out calls. It is safe for concurrent use.
+// Dispatcher executes calls against targets. It is safe for concurrent use.
 type Dispatcher struct {
-	board    *blackboard.Board
-	picker   pick.Picker
-	upstream upstream.RoundTripper
-	ledger   Ledger
-	suspects Quarantine
-	metrics  *metrics.Set
-	contract *targetapi.Contract
-	heard    pick.Listener
-	retries  RetryBudget
-
-	held *heldAnswers
-
-	workspaces sync.Map // name -> *workspace
+	board          *blackboard.Board
+	picker         pick.Picker
+	upstream       upstream.RoundTripper
+	ledger         Ledger
+	quarantine     Quarantine
+	metrics        *metrics.Set
+	contract       *targetapi.Contract
+	signalListener pick.Listener
+	retries        RetryBudget
+
+	buffers *responseBuffers
+
+	workspaces sync.Map // workspace name -> *workspaceState
 	latencies  sync.Map // blackboard.ServiceKey -> *serviceLatency
 }
 
-// New returns a dispatcher.
+// New returns a Dispatcher. A nil Contract is replaced by targetapi.Default.
 func New(deps Deps) *Dispatcher {
 	if deps.Contract == nil {
 		deps.Contract = targetapi.Default()
 	}
 	return &Dispatcher{
-		contract: deps.Contract,
-		heard:    deps.SignalListener,
-		retries:  deps.Retries,
-
-		held: newHeldAnswers(deps.ResponseBufferBytes),
-
-		board:    deps.Board,
-		picker:   deps.Picker,
-		upstream: deps.Upstream,
-		ledger:   deps.Ledger,
-		suspects: deps.Quarantine,
-		metrics:  deps.Metrics,
+		contract:       deps.Contract,
+		signalListener: deps.SignalListener,
+		retries:        deps.Retries,
+
+		buffers: newResponseBuffers(deps.ResponseBufferBytes),
+
+		board:      deps.Board,
+		picker:     deps.Picker,
+		upstream:   deps.Upstream,
+		ledger:     deps.Ledger,
+		quarantine: deps.Quarantine,
+		metrics:    deps.Metrics,
 	}
 }
 
-// Admit counts a call against its workspace's limit of calls in flight on this
-// host. Release must be called once the caller has its whole answer; it is nil
-// if the call is refused.
+// Admit counts a call against its workspace's limit of concurrent calls on this host. If the
+// call is refused, release is nil and refusal gives the reason. Otherwise release must be
+// called once the caller has received the complete response.
 func (d *Dispatcher) Admit(c *Call) (release func(), refusal outcome.Result) {
 	ws := d.workspace(c.Workspace)
 	limit := int64(c.Workspace.MaxInFlight)
@@ -102,68 +102,68 @@
 		ws.inFlight.Add(-1)
 		return nil, outcome.Refuse(outcome.ReasonWorkspaceLimit)
 	}
-	ws.begin(c.Workspace)
+	ws.recordCall(c.Workspace)
 	if d.retries != nil {
 		d.retries.Call(c.Key, time.Now())
 	}
 	return func() { ws.inFlight.Add(-1) }, outcome.Result{}
 }
 
-// Do carries out a call that was admitted. ctx carries the caller's deadline
-// and ends when the caller is gone.
+// Do executes an admitted call and returns the reply for its caller. ctx carries the caller's
+// deadline and must be canceled when the caller disconnects.
 func (d *Dispatcher) Do(ctx context.Context, c *Call) *Reply {
 	if !c.AtMostOnce {
-		return d.run(ctx, c, &history{once: c.Repeat == Once})
+		return d.run(ctx, c, &history{atMostOnce: c.Idempotency == NonIdempotent})
 	}
 	if c.IdempotencyKey != "" {
 		return d.doKeyed(ctx, c)
 	}
-	h := &history{once: true}
+	h := &history{atMostOnce: true}
 	if c.Service.RequireKey {
-		return h.settle(outcome.ReasonKeyRequired, 0)
+		return h.fallbackReply(outcome.ReasonKeyRequired, 0)
 	}
 	return d.run(ctx, c, h)
 }
 
-// run makes attempts until one is answered or there may be no other.
+// run makes attempts until one succeeds or no further attempt is allowed.
 func (d *Dispatcher) run(ctx context.Context, c *Call, h *history) *Reply {
 	for {
-		watch, decision := d.admitAttempt(ctx, c)
+		qa, decision := d.admitAttempt(ctx, c)
 		if decision.Refuse {
-			return h.settle(quarantineReason(decision), decision.RetryAfter)
+			return h.fallbackReply(quarantineReason(decision), decision.RetryAfter)
 		}
 		g, refusal := d.picker.Pick(ctx, pick.Request{
 			Service: c.Key,
 			Avoid:   h.tried,
 			Alone:   decision.Alone,
-			Digest:  c.Suspicion,
+			Digest:  c.RequestDigest,
 
-			Arrived:   c.Arrived.Add(-c.Waited),
+			Arrived:   c.Arrived.Add(-c.PriorWait),
 			Objective: c.Objective,
 			Priority:  c.Priority,
 			Bytes:     c.bytes(),
 			Regions:   c.Regions,
 		})
 		if g == nil {
-			watch.Close()
-			r := h.settle(refusal.Reason, refusal.RetryAfter)
+			qa.Close()
+			r := h.fallbackReply(refusal.Reason, refusal.RetryAfter)
 			r.Result.Why = refusal.Why
 			return r
 		}
-		if !c.allowed() {
-			watch.Close()
+		if !c.authorized() {
+			qa.Close()
 			g.Release(pick.Report{Class: pick.Canceled, Load: -1})
-			return h.settle(outcome.ReasonUnknownKey, 0)
+			return h.fallbackReply(outcome.ReasonUnknownKey, 0)
 		}
-		a := d.race(ctx, c, send{grant: g, watch: watch, claim: h.claim}, h)
-		if r := d.accept(ctx, c, h, a); r != nil {
+		a := d.attemptWithHedge(ctx, c, permit{grant: g, quarantineAttempt: qa, claim: h.claim}, h)
+		if r := d.replyOrRetry(ctx, c, h, a); r != nil {
 			return r
 		}
 	}
 }
 
-// quarantineReason tells a request that crashes targets from one that waited in
-// vain for its turn to be tried alone.
+// quarantineReason tells a request that timed out waiting for its turn to run alone from one
+// that is refused because it is suspected of crashing targets.
 func quarantineReason(d quarantine.Decision) outcome.Reason {
 	if d.Waited {
 		return outcome.ReasonQueueTimeout
@@ -171,40 +171,41 @@
 	return outcome.ReasonQuarantined
 }
 
-// admitAttempt asks the quarantine about one attempt.
+// admitAttempt asks the quarantine whether the next attempt may be made.
 func (d *Dispatcher) admitAttempt(ctx context.Context, c *Call) (*quarantine.Attempt, quarantine.Decision) {
-	if d.suspects == nil {
+	if d.quarantine == nil {
 		return nil, quarantine.Decision{}
 	}
-	return d.suspects.Admit(ctx, c.Suspicion)
+	return d.quarantine.Admit(ctx, c.RequestDigest)
 }
 
-// accept returns the reply that an attempt leads to, or nil if there is to be
-// another attempt.
-func (d *Dispatcher) accept(ctx context.Context, c *Call, h *history, a *attempt) *Reply {
-	if a.good() && c.Sizes != nil {
-		c.Sizes.Learn(a.resp.ContentLength)
+// replyOrRetry returns the reply that follows from an attempt, or nil if the call is to be
+// retried.
+func (d *Dispatcher) replyOrRetry(ctx context.Context, c *Call, h *history, a *attempt) *Reply {
+	if a.succeeded() && c.ResponseSizes != nil {
+		c.ResponseSizes.Learn(a.resp.ContentLength)
 	}
-	if a.good() || a.answered() && !a.keepable() {
-		return h.reply(a.stream())
+	if a.succeeded() || a.hasResponse() && !a.failureBufferable() {
+		return h.reply(a.streamReply())
 	}
-	again := d.mayRetry(ctx, c, h, a)
-	if a.answered() {
-		if !again {
-			return h.reply(a.stream())
+	retryable := d.mayRetry(ctx, c, h, a)
+	if a.hasResponse() {
+		if !retryable {
+			return h.reply(a.streamReply())
 		}
-		h.failure = a.keep()
+		h.failure = a.bufferFailure()
 		return nil
 	}
-	if !again {
-		return h.settle(a.reason, 0) // the target's rest is asked of this host alone
+	if !retryable {
+		return h.fallbackReply(a.reason, 0) // a target's Retry-After applies to this host, not to callers
 	}
 	return nil
 }
 
-// connShare returns this host's part of the connections that a target takes
-// from all hosts. It counts every host that may still hold connections, so
-// that the parts never add up to more than the whole while hosts come and go.
+// connShare returns the maximum number of connections from this host to a target: an equal
+// share of the target's limit, or 0 for no limit. The divisor includes every member that may
+// still hold connections, so that the shares never add up to more than the limit while hosts
+// join and leave.
 func (d *Dispatcher) connShare(c *Call) int {
 	if c.Service.MaxConns == 0 {
 		return 0
@@ -213,7 +214,7 @@
 	return max(1, c.Service.MaxConns/hosts)
 }
 
-// observe learns the latency of a whole answer.
+// observe records the latency of a completely received response.
 func (d *Dispatcher) observe(key blackboard.ServiceKey, took time.Duration) {
 	d.latency(key).observe(took)
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -22,21 +22,21 @@
 	for _, tc := range []struct {
 		name    string
 		method  string
-		targets []behaviour
+		targets []behavior
 		want    outcome.Outcome
 		reason  outcome.Reason
 		sends   int
 	}{
 		{"no target", "POST", nil, outcome.NotRun, outcome.ReasonNoTarget, 0},
-		{"every target sheds", "POST", []behaviour{sheds(), sheds(), sheds()}, outcome.NotRun, outcome.ReasonShed, 3},
-		{"no connection", "POST", []behaviour{breaks(false), breaks(false), breaks(false)}, outcome.NotRun, outcome.ReasonConnect, 3},
-		{"a POST breaks off", "POST", []behaviour{breaks(true), answers(200, "", nil)}, outcome.Unknown, outcome.ReasonBrokeOff, 1},
-		{"a GET breaks off everywhere", "GET", []behaviour{breaks(true), breaks(true)}, outcome.Unknown, outcome.ReasonNoTarget, 2},
-		{"shed after a break", "GET", []behaviour{breaks(true), sheds(), sheds()}, outcome.Unknown, outcome.ReasonShed, 3},
+		{"every target sheds", "POST", []behavior{shed(), shed(), shed()}, outcome.NotRun, outcome.ReasonShed, 3},
+		{"connection refused", "POST", []behavior{breakConn(false), breakConn(false), breakConn(false)}, outcome.NotRun, outcome.ReasonConnect, 3},
+		{"POST connection broken", "POST", []behavior{breakConn(true), respond(200, "", nil)}, outcome.Unknown, outcome.ReasonBrokeOff, 1},
+		{"GET connection broken on every target", "GET", []behavior{breakConn(true), breakConn(true)}, outcome.Unknown, outcome.ReasonNoTarget, 2},
+		{"shed after a broken connection", "GET", []behavior{breakConn(true), shed(), shed()}, outcome.Unknown, outcome.ReasonShed, 3},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newBench(t, tc.targets...)
-			r := b.do(t, context.Background(), call(tc.method))
+			b := newHarness(t, tc.targets...)
+			r := b.do(t, context.Background(), newCall(tc.method))
 			assert.Equal(t, r.Result.Outcome, tc.want)
 			assert.Equal(t, r.Result.Reason, tc.reason)
 			assert.Equal(t, len(b.picker.reports()), tc.sends)
@@ -45,9 +45,9 @@
 }
 
 func TestWhatDidNotRunIsTriedElsewhere(t *testing.T) {
-	for _, first := range []behaviour{sheds(), breaks(false)} {
-		b := newBench(t, first, answers(http.StatusCreated, "done", nil))
-		r := b.do(t, context.Background(), call(http.MethodPost))
+	for _, first := range []behavior{shed(), breakConn(false)} {
+		b := newHarness(t, first, respond(http.StatusCreated, "done", nil))
+		r := b.do(t, context.Background(), newCall(http.MethodPost))
 		body, err := readReply(t, r)
 		assert.NilError(t, err)
 		assert.Equal(t, body, "done")
@@ -57,30 +57,30 @@
 }
 
 func TestRetriesStopWhenTheBudgetIsSpent(t *testing.T) {
-	b := newBench(t, breaks(true), answers(200, "", nil))
-	c := call(http.MethodGet)
+	b := newHarness(t, breakConn(true), respond(200, "", nil))
+	c := newCall(http.MethodGet)
 	c.Workspace.RetryRatio = 0
 	r := b.do(t, context.Background(), c)
 	assert.Equal(t, r.Result.Outcome, outcome.Unknown)
 	assert.Equal(t, b.m.RetriesRefused.Get(noRetryBudget).String(), "1")
 }
 
-// The caller gets its answer: two targets are down at once, and a quiet workspace
-// has no retry saved. Nothing was attempted at either of them.
+// Two targets are down at once and the workspace's retry budget is empty. The caller must still
+// get a response from the third: no request was sent to the other two.
 func TestTargetsThatCanNotBeReachedCostNoBudget(t *testing.T) {
-	b := newBench(t, breaks(false), breaks(false), answers(200, "fine", nil))
-	c := call(http.MethodPost)
+	b := newHarness(t, breakConn(false), breakConn(false), respond(200, "fine", nil))
+	c := newCall(http.MethodPost)
 	c.Workspace.RetryRatio = 0
 	body, err := readReply(t, b.do(t, context.Background(), c))
 	assert.NilError(t, err)
 	assert.Equal(t, body, "fine")
 }
 
-// The caller gets the first target's own failure: a second attempt was begun
-// for a better answer, but there was no target left for it.
+// A target fails and there is no other target for the retry. The caller must get the first
+// target's error response.
 func TestFailureIsPassedOnWhenThereIsNoBetterAnswer(t *testing.T) {
-	b := newBench(t, answers(http.StatusInternalServerError, "broken", nil))
-	r := b.do(t, context.Background(), call(http.MethodGet))
+	b := newHarness(t, respond(http.StatusInternalServerError, "broken", nil))
+	r := b.do(t, context.Background(), newCall(http.MethodGet))
 	body, err := readReply(t, r)
 	assert.NilError(t, err)
 	assert.Equal(t, r.Status, http.StatusInternalServerError)
@@ -89,24 +89,23 @@
 }
 
 func TestFailureOfARepeatableCallIsTriedElsewhere(t *testing.T) {
-	b := newBench(t, answers(http.StatusInternalServerError, "broken", nil), answers(200, "fine", nil))
-	r := b.do(t, context.Background(), call(http.MethodGet))
+	b := newHarness(t, respond(http.StatusInternalServerError, "broken", nil), respond(200, "fine", nil))
+	r := b.do(t, context.Background(), newCall(http.MethodGet))
 	body, err := readReply(t, r)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "fine")
 	assert.DeepEqual(t, b.picker.reports(), []pick.Class{pick.Failed, pick.OK})
 }
 
-// The caller is told not-run and not answered: the upload was a stream that the
-// first target had begun to read before it shed the call, so nothing is left to
-// send to another one.
+// A target has begun to read a streamed upload before it sheds the call, so the body can't be sent
+// to another target. The caller must be told not-run.
 func TestStreamIsNotSentTwice(t *testing.T) {
 	shedAfterRead := func(req *http.Request) upstream.Result {
 		_, _ = req.Body.Read(make([]byte, 1))
-		return sheds()(req)
+		return shed()(req)
 	}
-	b := newBench(t, shedAfterRead, answers(200, "", nil))
-	c := call(http.MethodPut)
+	b := newHarness(t, shedAfterRead, respond(200, "", nil))
+	c := newCall(http.MethodPut)
 	c.Body = StreamBody(io.NopCloser(strings.NewReader("upload")), 6)
 	r := b.do(t, context.Background(), c)
 	assert.Equal(t, r.Result.Outcome, outcome.NotRun)
@@ -114,15 +113,15 @@
 	assert.Equal(t, len(b.picker.reports()), 1)
 }
 
-// The caller sees its answer break off, not a short answer that looks whole:
-// the target's connection ended in the middle of the body.
-func TestAnswerThatBreaksOffIsNotEndedAsWhole(t *testing.T) {
+// The target's connection breaks in the middle of the body. The caller must see an error, not a
+// short response that looks complete.
+func TestTruncatedResponseBreaksTheReply(t *testing.T) {
 	half := func(*http.Request) upstream.Result {
 		body := io.NopCloser(io.MultiReader(strings.NewReader("hal"), brokenReader{}))
-		return upstream.Result{Sent: true, Response: response(200, body, 8, nil)}
+		return upstream.Result{Sent: true, Response: newResponse(200, body, 8, nil)}
 	}
-	b := newBench(t, half)
-	body, err := readReply(t, b.do(t, context.Background(), call(http.MethodGet)))
+	b := newHarness(t, half)
+	body, err := readReply(t, b.do(t, context.Background(), newCall(http.MethodGet)))
 	assert.Equal(t, body, "hal")
 	assert.Check(t, errors.Is(err, io.ErrUnexpectedEOF))
 	assert.DeepEqual(t, b.picker.reports(), []pick.Class{pick.BrokeOff})
@@ -132,25 +131,25 @@
 
 func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// The caller is told unknown at its deadline: the target took the request and
-// said nothing, so it may still run it.
+// The target has received the request and doesn't respond, so it may still run it. At the deadline
+// the caller must be told that the outcome is unknown.
 func TestDeadlineAfterTheRequestLeftIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, slow(time.Minute, answers(200, "", nil)))
+		b := newHarness(t, slow(time.Minute, respond(200, "", nil)))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		r := b.do(t, ctx, call(http.MethodPost))
+		r := b.do(t, ctx, newCall(http.MethodPost))
 		assert.Equal(t, r.Result.Outcome, outcome.Unknown)
 		assert.Equal(t, r.Result.Reason, outcome.ReasonTargetTimeout)
 	})
 }
 
-// The caller gets the second target's answer: the first one was late beyond the
-// learned 95th percentile. The late attempt is canceled and its slot released.
+// The first response takes longer than the observed 95th percentile. The caller must get the
+// response to the hedge; the late attempt is canceled and its slot released.
 func TestLateAnswerIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, slow(time.Minute, answers(200, "late", nil)), slow(time.Millisecond, answers(200, "hedge", nil)))
-		c := call(http.MethodGet)
+		b := newHarness(t, slow(time.Minute, respond(200, "late", nil)), slow(time.Millisecond, respond(200, "hedge", nil)))
+		c := newCall(http.MethodGet)
 		c.Workspace.HedgeRatio = 1
 		for range 100 {
 			b.d.observe(c.Key, 5*time.Millisecond)
@@ -165,27 +164,26 @@
 	})
 }
 
-// budgetOf is a budget of some second attempts.
-type budgetOf struct{ seconds int }
+// hedgeBudget is a RetryBudget that allows a number of hedges and no retries.
+type hedgeBudget struct{ hedges int }
 
-func (*budgetOf) Call(blackboard.ServiceKey, time.Time)      {}
-func (*budgetOf) Take(blackboard.ServiceKey, time.Time) bool { return false }
+func (*hedgeBudget) Call(blackboard.ServiceKey, time.Time)      {}
+func (*hedgeBudget) Take(blackboard.ServiceKey, time.Time) bool { return false }
 
-func (b *budgetOf) TakeHedge(blackboard.ServiceKey, time.Time) bool {
-	b.seconds--
-	return b.seconds >= 0
+func (b *hedgeBudget) TakeHedge(blackboard.ServiceKey, time.Time) bool {
+	b.hedges--
+	return b.hedges >= 0
 }
 
-// A target fell silent while it ran a request. Where targets tell nothing of their load the
-// request goes to a second one in time for its objective, if the budget has room; where
-// they do, the caller waits for the first, and a request that may not be repeated does so
-// everywhere.
-func TestSecondTargetIsAskedWhereTheFirstWasChosenBlindly(t *testing.T) {
+// A target stops responding while it runs a request. If targets don't report load, an idempotent
+// request is hedged in time for its objective, as far as the budget allows. If they report load,
+// or the request isn't idempotent, the caller waits for the first target.
+func TestCallIsHedgedIfTargetsDoNotReportLoad(t *testing.T) {
 	for _, c := range []struct {
 		silent bool
 		budget int
 		method string
-		second bool
+		hedged bool
 	}{
 		{true, 1, http.MethodGet, true},
 		{true, 0, http.MethodGet, false},
@@ -193,20 +191,20 @@
 		{true, 1, http.MethodPost, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBench(t, slow(time.Minute, answers(200, "late", nil)), slow(50*time.Millisecond, answers(200, "second", nil)))
-			b.d.retries = &budgetOf{seconds: c.budget}
+			b := newHarness(t, slow(time.Minute, respond(200, "late", nil)), slow(50*time.Millisecond, respond(200, "second", nil)))
+			b.d.retries = &hedgeBudget{hedges: c.budget}
 			b.picker.silent = c.silent
 			for range 100 {
-				b.d.observe(call(c.method).Key, 50*time.Millisecond)
+				b.d.observe(newCall(c.method).Key, 50*time.Millisecond)
 			}
-			req := call(c.method)
+			req := newCall(c.method)
 			req.Arrived, req.Objective = time.Now(), 200*time.Millisecond
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			body, err := readReply(t, b.do(t, ctx, req))
 			assert.NilError(t, err)
-			assert.Equal(t, body == "second", c.second, "%+v", c)
-			if c.second {
+			assert.Equal(t, body == "second", c.hedged, "%+v", c)
+			if c.hedged {
 				assert.Check(t, time.Since(req.Arrived) <= req.Objective, "%s", time.Since(req.Arrived))
 			}
 			synctest.Wait()
@@ -215,8 +213,8 @@
 }
 
 func TestWorkspaceLimitRefuses(t *testing.T) {
-	b := newBench(t)
-	c := call(http.MethodGet)
+	b := newHarness(t)
+	c := newCall(http.MethodGet)
 	c.Workspace.MaxInFlight = 1
 	release, _ := b.d.Admit(c)
 	_, refusal := b.d.Admit(c)
@@ -226,14 +224,14 @@
 	assert.Check(t, release != nil)
 }
 
-// A caller's API key is taken away while its call waits, or between two attempts: no target
-// gets the call any more.
-func TestCallWhoseKeyIsGoneIsNotSent(t *testing.T) {
+// A caller's API key is revoked while its call is queued or between two attempts. The call must
+// not be sent to a target any more.
+func TestCallWithRevokedKeyIsNotSent(t *testing.T) {
 	for sent, want := range map[int]outcome.Outcome{0: outcome.NotRun, 1: outcome.NotRun} {
-		b := newBench(t, sheds(), answers(http.StatusOK, "fine", nil))
-		c := call(http.MethodGet)
+		b := newHarness(t, shed(), respond(http.StatusOK, "fine", nil))
+		c := newCall(http.MethodGet)
 		asked := 0
-		c.Allowed = func() bool {
+		c.StillAuthorized = func() bool {
 			asked++
 			return asked <= sent
 		}
--- a/dispatch/fakes_test.go
+++ b/dispatch/fakes_test.go
@@ -21,13 +21,13 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// fakePicker grants targets t1, t2, ... up to a number, then refuses.
+// fakePicker grants targets t1, t2, ... up to a limit and then refuses.
 type fakePicker struct {
 	mu       sync.Mutex
 	targets  int
 	granted  int
 	released []pick.Class
-	// silent is told as the basis of grants.
+	// silent is reported in the basis of each grant: targets that don't report load.
 	silent bool
 }
 
@@ -63,41 +63,41 @@
 	g.picker.released = append(g.picker.released, r.Class)
 }
 
-// behaviour is what a fake target does with a request.
-type behaviour func(req *http.Request) upstream.Result
+// behavior is how a fake target handles a request.
+type behavior func(req *http.Request) upstream.Result
 
-// fakeUpstream has one behaviour for each target.
-type fakeUpstream map[ports.HostID]behaviour
+// fakeUpstream maps each target to its behavior.
+type fakeUpstream map[ports.HostID]behavior
 
 func (u fakeUpstream) RoundTrip(req *http.Request, t blackboard.Target, _ upstream.SendOptions) upstream.Result {
 	return u[t.ID](req)
 }
 
-func answers(status int, body string, header http.Header) behaviour {
+func respond(status int, body string, header http.Header) behavior {
 	return func(*http.Request) upstream.Result {
-		return upstream.Result{Sent: true, Response: response(status, io.NopCloser(strings.NewReader(body)), int64(len(body)), header)}
+		return upstream.Result{Sent: true, Response: newResponse(status, io.NopCloser(strings.NewReader(body)), int64(len(body)), header)}
 	}
 }
 
-func response(status int, body io.ReadCloser, length int64, h http.Header) *http.Response {
+func newResponse(status int, body io.ReadCloser, length int64, h http.Header) *http.Response {
 	if h == nil {
 		h = make(http.Header)
 	}
 	return &http.Response{StatusCode: status, Header: h, Body: body, ContentLength: length}
 }
 
-func sheds() behaviour {
-	return answers(http.StatusServiceUnavailable, "", http.Header{targetapi.HeaderShed: {targetapi.Yes}})
+func shed() behavior {
+	return respond(http.StatusServiceUnavailable, "", http.Header{targetapi.HeaderShed: {targetapi.Yes}})
 }
 
-func breaks(sent bool) behaviour {
+func breakConn(sent bool) behavior {
 	return func(*http.Request) upstream.Result {
 		return upstream.Result{Sent: sent, Err: errors.New("connection lost")}
 	}
 }
 
-// slow answers after a time unless the attempt is canceled first.
-func slow(d time.Duration, then behaviour) behaviour {
+// slow responds after a delay unless the attempt is canceled first.
+func slow(d time.Duration, then behavior) behavior {
 	return func(req *http.Request) upstream.Result {
 		select {
 		case <-time.After(d):
@@ -108,14 +108,14 @@
 	}
 }
 
-// bench is a dispatcher with fakes around it.
-type bench struct {
+// harness is a Dispatcher with fake dependencies.
+type harness struct {
 	picker *fakePicker
 	d      *Dispatcher
 	m      *metrics.Set
 }
 
-func newBench(t *testing.T, targets ...behaviour) *bench {
+func newHarness(t *testing.T, targets ...behavior) *harness {
 	t.Helper()
 	up := make(fakeUpstream)
 	for i, b := range targets {
@@ -123,15 +123,15 @@
 	}
 	board := blackboard.New()
 	t.Cleanup(func() { _ = board.Close() })
-	b := &bench{picker: &fakePicker{targets: len(targets)}, m: metrics.New()}
+	b := &harness{picker: &fakePicker{targets: len(targets)}, m: metrics.New()}
 	b.d = New(Deps{Board: board, Picker: b.picker, Upstream: up, Metrics: b.m})
 	return b
 }
 
-func (b *bench) do(t *testing.T, ctx context.Context, c *Call) *Reply {
+func (b *harness) do(t *testing.T, ctx context.Context, c *Call) *Reply {
 	t.Helper()
-	// A call that went before fills the budget for two retries.
-	b.d.workspace(c.Workspace).begin(c.Workspace)
+	// An earlier call fills the budget for two retries.
+	b.d.workspace(c.Workspace).recordCall(c.Workspace)
 	release, refusal := b.d.Admit(c)
 	if release == nil {
 		return &Reply{Result: refusal}
@@ -140,22 +140,22 @@
 	return b.d.Do(ctx, c)
 }
 
-func call(method string) *Call {
+func newCall(method string) *Call {
 	ws := &declare.Workspace{
 		Name:       "w",
 		RetryRatio: 1,
 		Services:   []declare.Service{{Name: "s", MaxAttempts: 3}},
 	}
 	return &Call{
-		Workspace: ws,
-		Service:   &ws.Services[0],
-		Key:       blackboard.ServiceKey{Workspace: "w", Service: "s"},
-		Method:    method,
-		URL:       &url.URL{Path: "/"},
-		Header:    make(http.Header),
-		Body:      MemoryBody([]byte("body")),
-		Repeat:    RepeatOf(method),
-		Attempts:  3,
+		Workspace:   ws,
+		Service:     &ws.Services[0],
+		Key:         blackboard.ServiceKey{Workspace: "w", Service: "s"},
+		Method:      method,
+		URL:         &url.URL{Path: "/"},
+		Header:      make(http.Header),
+		Body:        MemoryBody([]byte("body")),
+		Idempotency: IdempotencyOf(method),
+		MaxAttempts: 3,
 	}
 }
 
@@ -171,7 +171,7 @@
 
 type upstreamResult = upstream.Result
 
-// errReader fails each read.
+// errReader fails every read.
 type errReader struct{ err error }
 
 func (r errReader) Read([]byte) (int, error) { return 0, r.err }
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -13,7 +13,7 @@
 	"github.com/cactusproxy/cactusproxy/quarantine"
 )
 
-// serviceLatency is the latency of whole answers of one service.
+// serviceLatency tracks the latency of complete responses of one service.
 type serviceLatency struct {
 	mu      sync.Mutex
 	tracker latency.Tracker
@@ -25,8 +25,9 @@
 	l.tracker.Observe(took)
 }
 
-// hedgeDelay returns when to send a second attempt; objective is the time left until the
-// call's objective, 0 if it has none.
+// hedgeDelay returns the delay before a hedge is sent, and false if none is to be sent.
+// objective is the time left until the call's objective (0 if it has none), left the time
+// until its deadline.
 func (l *serviceLatency) hedgeDelay(objective, left time.Duration) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -44,23 +45,23 @@
 	return l.(*serviceLatency)
 }
 
-// race sends an attempt and, if the call may be hedged and the answer is late,
-// a second one to another target. It returns the first attempt that has an
-// answer, or the last to fail; the other one is canceled.
-func (d *Dispatcher) race(ctx context.Context, c *Call, s send, h *history) *attempt {
-	delay, ok := d.hedgeDelay(ctx, c, s, h)
+// attemptWithHedge makes an attempt and, if the call may be hedged and the response is late, a
+// second one on another target. It returns the first attempt that gets a response, or the last
+// one to fail; the other one is canceled.
+func (d *Dispatcher) attemptWithHedge(ctx context.Context, c *Call, p permit, h *history) *attempt {
+	delay, ok := d.hedgeDelay(ctx, c, p, h)
 	if !ok {
-		a := d.attempt(ctx, c, s)
+		a := d.attempt(ctx, c, p)
 		h.add(a)
 		return a
 	}
-	return d.hedged(ctx, c, s, h, delay)
+	return d.runHedged(ctx, c, p, h, delay)
 }
 
-// hedgeDelay returns when to send a second attempt. Only a call that may be
-// repeated, whose body is in memory and that was not tried before is hedged.
-func (d *Dispatcher) hedgeDelay(ctx context.Context, c *Call, s send, h *history) (time.Duration, bool) {
-	if !d.mayHedge(c, s) || c.Repeat != Idempotent || h.attempts > 0 || c.Attempts < 2 {
+// hedgeDelay returns the delay before a hedge is sent. Only the first attempt of an idempotent
+// call whose body is in memory is hedged.
+func (d *Dispatcher) hedgeDelay(ctx context.Context, c *Call, p permit, h *history) (time.Duration, bool) {
+	if !d.mayHedge(c, p) || c.Idempotency != Idempotent || h.attempts > 0 || c.MaxAttempts < 2 {
 		return 0, false
 	}
 	if _, ok := c.Body.Bytes(); !ok {
@@ -71,84 +72,84 @@
 		left = time.Until(at)
 	}
 	if c.Objective > 0 {
-		objective = max(time.Nanosecond, time.Until(c.Arrived.Add(c.Objective-c.Waited)))
+		objective = max(time.Nanosecond, time.Until(c.Arrived.Add(c.Objective-c.PriorWait)))
 	}
 	return d.latency(c.Key).hedgeDelay(objective, left)
 }
 
-// mayHedge reports whether second attempts are wanted: where the workspace declares a
-// share of them, or the target was chosen blindly.
+// mayHedge reports whether the call may be hedged: if the workspace declares a hedge ratio, or
+// if the target was picked without knowing its load.
 //
-// Targets that tell their load are asked at the choice, and a call that takes long there
-// mostly has more work: second attempts for these, too, take slots from others, which are
-// missed most after a restart of all hosts.
-func (d *Dispatcher) mayHedge(c *Call, s send) bool {
+// Targets that report load are picked by it, and a call that takes long there mostly has more
+// work to do. Hedging such calls would take slots from others, which are scarcest after a
+// restart of all hosts.
+func (d *Dispatcher) mayHedge(c *Call, p permit) bool {
 	if d.retries == nil {
 		return c.Workspace.HedgeRatio > 0
 	}
-	g, ok := s.grant.(pick.Explained)
+	g, ok := p.grant.(pick.Explained)
 	return ok && g.Basis().Silent
 }
 
-// hedged sends the first attempt from this goroutine, so that a call whose answer
-// is in time pays for a timer alone, and a second one from the timer's.
-func (d *Dispatcher) hedged(ctx context.Context, c *Call, s send, h *history, delay time.Duration) *attempt {
+// runHedged sends the first attempt on this goroutine and the hedge on the timer's goroutine, so
+// that a call whose response is on time only pays for a timer.
+func (d *Dispatcher) runHedged(ctx context.Context, c *Call, p permit, h *history, delay time.Duration) *attempt {
 	ctx1, cancel1 := context.WithCancel(ctx)
-	r := &hedgeRace{d: d, ctx: ctx, call: c, first: s.grant, cancelFirst: cancel1, done: make(chan *attempt, 1)}
-	timer := time.AfterFunc(delay, r.second)
-	a := d.attempt(ctx1, c, s)
+	r := &hedgeRace{d: d, ctx: ctx, call: c, first: p.grant, cancelFirst: cancel1, done: make(chan *attempt, 1)}
+	timer := time.AfterFunc(delay, r.sendHedge)
+	a := d.attempt(ctx1, c, p)
 	a.addCancel(cancel1)
 	h.add(a)
 	if timer.Stop() {
 		return a
 	}
-	return r.settle(h, a)
+	return r.resolve(h, a)
 }
 
-// hedgeSend returns the right to a second attempt, or nil if the budget or the
-// targets have no room, or the request is suspected of crashing targets.
-func (d *Dispatcher) hedgeSend(ctx context.Context, c *Call, g pick.Grant) *send {
-	watch, decision := d.admitAttempt(ctx, c)
+// prepareHedge returns the permit for a hedge, or nil if the budget is used up, no target has a
+// free slot, or the request is suspected of crashing targets.
+func (d *Dispatcher) prepareHedge(ctx context.Context, c *Call, g pick.Grant) *permit {
+	qa, decision := d.admitAttempt(ctx, c)
 	if decision.Refuse || decision.Alone {
-		return d.noHedge(watch, "hedge-suspected")
+		return d.refuseHedge(qa, "hedge-suspected")
 	}
-	if !c.allowed() {
-		return d.noHedge(watch, "hedge-key")
+	if !c.authorized() {
+		return d.refuseHedge(qa, "hedge-key")
 	}
-	g2, _ := d.picker.Pick(ctx, pick.Request{
+	hedgeGrant, _ := d.picker.Pick(ctx, pick.Request{
 		Service: c.Key,
 		Avoid:   []ports.HostID{g.Target().ID},
 		Hedge:   true,
 		Bytes:   c.bytes(),
 		Regions: c.Regions,
-		Digest:  c.Suspicion,
+		Digest:  c.RequestDigest,
 	})
-	if g2 == nil {
-		return d.noHedge(watch, "hedge-no-slot")
+	if hedgeGrant == nil {
+		return d.refuseHedge(qa, "hedge-no-slot")
 	}
-	if !d.payHedge(c) {
-		g2.Release(pick.Report{Class: pick.Canceled, Load: -1})
-		return d.noHedge(watch, "hedge-budget")
+	if !d.takeHedgeBudget(c) {
+		hedgeGrant.Release(pick.Report{Class: pick.Canceled, Load: -1})
+		return d.refuseHedge(qa, "hedge-budget")
 	}
-	return &send{grant: g2, watch: watch}
+	return &permit{grant: hedgeGrant, quarantineAttempt: qa}
 }
 
-// noHedge notes why a second attempt is not made.
-func (d *Dispatcher) noHedge(watch *quarantine.Attempt, why string) *send {
-	watch.Close()
-	d.metrics.RetriesRefused.Add(why, 1)
+// refuseHedge counts why a hedge isn't sent and returns nil.
+func (d *Dispatcher) refuseHedge(qa *quarantine.Attempt, reason string) *permit {
+	qa.Close()
+	d.metrics.RetriesRefused.Add(reason, 1)
 	return nil
 }
 
-// payHedge pays for a second attempt while the first is in flight.
-func (d *Dispatcher) payHedge(c *Call) bool {
+// takeHedgeBudget deducts a hedge from the budget and reports whether there was room for it.
+func (d *Dispatcher) takeHedgeBudget(c *Call) bool {
 	if d.retries != nil {
 		return d.retries.TakeHedge(c.Key, time.Now())
 	}
 	return d.workspace(c.Workspace).takeHedge(time.Now())
 }
 
-// addCancel has another context canceled when the attempt ends.
+// addCancel also calls f when the attempt ends.
 func (a *attempt) addCancel(f context.CancelFunc) {
 	old := a.cancel
 	a.cancel = func() {
@@ -157,9 +158,9 @@
 	}
 }
 
-// throwAway ends an attempt whose answer nobody wants.
-func (a *attempt) throwAway() {
-	if !a.answered() {
+// abandon ends an attempt whose response is no longer needed.
+func (a *attempt) abandon() {
+	if !a.hasResponse() {
 		a.cancel()
 		return
 	}
--- a/dispatch/history.go
+++ b/dispatch/history.go
@@ -11,19 +11,19 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// history is what is known of the attempts of one call.
+// history records the attempts of one call.
 type history struct {
 	attempts   int
 	tried      []ports.HostID
 	mayHaveRun bool
-	// once is set for calls that may not be repeated, claim for those of them
-	// that carry an idempotency key.
-	once  bool
-	claim *ledger.Claim
-	// records is what is told of the attempts afterwards.
+	// atMostOnce is set for calls that must not run twice; claim is set for those of them that
+	// have an idempotency key.
+	atMostOnce bool
+	claim      *ledger.Claim
+	// records describes the attempts, for the call log.
 	records []AttemptRecord
-	// failure is a target's answer of status 500 and above, kept while another
-	// attempt looks for a better one.
+	// failure is a response with a server error that is kept while another attempt is made; the
+	// caller gets it if that attempt has no response.
 	failure *Reply
 }
 
@@ -31,18 +31,18 @@
 	h.attempts++
 	h.tried = append(h.tried, a.grant.Target().ID)
 	h.records = append(h.records, a.record())
-	twice := h.once && h.mayHaveRun && a.mayHaveRun
-	invariant.Check(!twice, invariant.AtMostOnce, "attempt=%d target=%s", h.attempts, a.grant.Target().ID)
+	ranTwice := h.atMostOnce && h.mayHaveRun && a.mayHaveRun
+	invariant.Check(!ranTwice, invariant.AtMostOnce, "attempt=%d target=%s", h.attempts, a.grant.Target().ID)
 	if h.claim != nil && !a.mayHaveRun {
 		h.claim.Refused()
 	}
 	h.mayHaveRun = h.mayHaveRun || a.mayHaveRun
 }
 
-// settle returns the reply of a call that ends without a fresh answer. One
-// attempt that may have run makes the whole call unknown, whatever the last
-// attempt or the picker said.
-func (h *history) settle(r outcome.Reason, retryAfter time.Duration) *Reply {
+// fallbackReply returns the reply of a call that ends without a new response. If any attempt may
+// have run, the outcome of the whole call is unknown, whatever the last attempt or the picker
+// returned.
+func (h *history) fallbackReply(r outcome.Reason, retryAfter time.Duration) *Reply {
 	if h.failure != nil {
 		return h.failure
 	}
@@ -54,16 +54,16 @@
 	return h.reply(&Reply{Result: res, Status: res.Status()})
 }
 
-// reply checks what is told against what was done.
+// reply adds the attempts to a reply and checks that it doesn't deny an attempt that may have run.
 func (h *history) reply(r *Reply) *Reply {
-	honest := r.Result.Outcome != outcome.NotRun || !h.mayHaveRun
-	invariant.Check(honest, invariant.NotRunHonest, "reason=%s attempts=%d", r.Result.Reason, h.attempts)
+	consistent := r.Result.Outcome != outcome.NotRun || !h.mayHaveRun
+	invariant.Check(consistent, invariant.NotRunHonest, "reason=%s attempts=%d", r.Result.Reason, h.attempts)
 	r.Attempts = h.records
 	return r
 }
 
-// Reply is what a caller is told. Body is nil for replies that cactusproxy
-// makes itself; otherwise it must be closed.
+// Reply is the reply to a caller. Body is nil for replies that cactusproxy generates itself;
+// otherwise it must be closed.
 type Reply struct {
 	Result  outcome.Result
 	Status  int
@@ -72,16 +72,16 @@
 	Body    *ReplyBody
 	// Length is the length of the body in bytes, or -1 if unknown.
 	Length int64
-	// Attempts are those of the call, in order.
+	// Attempts lists the attempts of the call in order.
 	Attempts []AttemptRecord
 }
 
-// AttemptRecord is what is told of an attempt afterwards.
+// AttemptRecord describes a finished attempt for the call log.
 type AttemptRecord struct {
 	Target ports.HostID
 	Reason outcome.Reason
-	// Status is that of the target's answer, passed on or not; 0 if there was none. Beside
-	// the reason ok it is the target's own word, beside foreign-answer nobody's.
+	// Status is the status of the target's response, forwarded or not; 0 without a response. With
+	// reason ok it comes from the target itself; with foreign-answer its origin is unknown.
 	Status     int
 	MayHaveRun bool
 	Took       time.Duration
--- a/dispatch/keyed.go
+++ b/dispatch/keyed.go
@@ -12,13 +12,13 @@
 	"github.com/cactusproxy/cactusproxy/pick"
 )
 
-// Ledger decides which host sends the call of an idempotency key;
-// ledger.Ledger is one.
+// Ledger decides which host executes the call of an idempotency key. It is implemented by
+// ledger.Ledger.
 type Ledger interface {
 	Begin(ctx context.Context, k ledger.Key) (*ledger.Claim, *ledger.Answer, outcome.Result)
 }
 
-// doKeyed carries out an at-most-once call under the claim of its key.
+// doKeyed executes an at-most-once call under the claim of its idempotency key.
 func (d *Dispatcher) doKeyed(ctx context.Context, c *Call) *Reply {
 	claim, stored, res := d.ledger.Begin(ctx, ledgerKey(c))
 	if stored != nil {
@@ -27,11 +27,11 @@
 	if claim == nil {
 		return &Reply{Result: res, Status: res.Status()}
 	}
-	h := &history{once: true, claim: claim}
+	h := &history{atMostOnce: true, claim: claim}
 	r := d.run(ctx, c, h)
 	switch {
 	case r.Body != nil:
-		keepAnswer(claim, r)
+		storeResponse(claim, r)
 		return r
 	case r.Result.Outcome == outcome.NotRun:
 		return giveUp(ctx, claim, r)
@@ -41,9 +41,8 @@
 	}
 }
 
-// giveUp ends a claim under which nothing was sent. What the caller is told is
-// the ledger's word if that is the weaker one: not-run speaks of the key over
-// all hosts.
+// giveUp ends a claim under which no request was sent. The ledger's result replaces the reply if
+// it is weaker than not-run, which has to hold for the key on all hosts.
 func giveUp(ctx context.Context, claim *ledger.Claim, r *Reply) *Reply {
 	res := claim.GiveUp(ctx)
 	if res.Outcome == outcome.NotRun {
@@ -52,7 +51,7 @@
 	return &Reply{Result: res, Status: res.Status()}
 }
 
-// ledgerKey returns the key of a call with the digest of what it asks for.
+// ledgerKey returns the ledger key of a call, with a digest of the request.
 func ledgerKey(c *Call) ledger.Key {
 	k := ledger.Key{
 		Workspace: c.Key.Workspace,
@@ -66,44 +65,44 @@
 		return k
 	}
 	k.DigestKnown = true
-	sum := sha256.New()
+	hash := sha256.New()
 	for _, part := range []string{c.Method, c.URL.RequestURI()} {
-		_, _ = io.WriteString(sum, part)
-		_, _ = sum.Write([]byte{0})
+		_, _ = io.WriteString(hash, part)
+		_, _ = hash.Write([]byte{0})
 	}
-	_, _ = sum.Write(body)
-	copy(k.Digest[:], sum.Sum(nil))
+	_, _ = hash.Write(body)
+	copy(k.Digest[:], hash.Sum(nil))
 	return k
 }
 
-// maxStoredAnswer bounds the copy of an answer that is made for the ledger, in
-// bytes. The ledger has a smaller limit of its own.
-const maxStoredAnswer = 64 << 10
+// maxStoredResponse is the largest response, in bytes, that is copied for the ledger. The ledger
+// has a smaller limit of its own.
+const maxStoredResponse = 64 << 10
 
-// keepAnswer has the ledger keep the answer once the caller has read it whole.
-// One that breaks off leaves the claim undecided: the call may have run.
-func keepAnswer(claim *ledger.Claim, r *Reply) {
-	kept := &answerCopy{ReadCloser: r.Body}
+// storeResponse stores the response in the ledger once the caller has read all of it. A truncated
+// response leaves the claim undecided, because the call may have run.
+func storeResponse(claim *ledger.Claim, r *Reply) {
+	cp := &responseCopy{ReadCloser: r.Body}
 	status, header := r.Status, r.Header.Clone()
-	r.Body = NewReplyBody(kept, func(class pick.Class) {
+	r.Body = NewReplyBody(cp, func(class pick.Class) {
 		if class != pick.OK {
 			claim.Undecided()
 			return
 		}
-		claim.Finish(context.Background(), kept.answer(status, header))
+		claim.Finish(context.Background(), cp.response(status, header))
 	})
 }
 
-// answerCopy copies what is read from it, up to maxStoredAnswer.
-type answerCopy struct {
+// responseCopy copies what is read through it, up to maxStoredResponse bytes.
+type responseCopy struct {
 	io.ReadCloser
 	buf      bytes.Buffer
 	overflow bool
 }
 
-func (a *answerCopy) Read(p []byte) (int, error) {
+func (a *responseCopy) Read(p []byte) (int, error) {
 	n, err := a.ReadCloser.Read(p)
-	if a.buf.Len()+n > maxStoredAnswer {
+	if a.buf.Len()+n > maxStoredResponse {
 		a.overflow = true
 		a.buf = bytes.Buffer{}
 	}
@@ -113,9 +112,9 @@
 	return n, err
 }
 
-// answer returns the copy, or nil if the answer was too large: the ledger then
-// notes that the call ran, without its answer.
-func (a *answerCopy) answer(status int, h http.Header) *ledger.Answer {
+// response returns the copy, or nil if the response was too large: the ledger then records that
+// the call ran, without its response.
+func (a *responseCopy) response(status int, h http.Header) *ledger.Answer {
 	if a.overflow {
 		return nil
 	}
--- a/dispatch/race.go
+++ b/dispatch/race.go
@@ -7,48 +7,48 @@
 	"github.com/cactusproxy/cactusproxy/pick"
 )
 
-// hedgeRace is a call whose first answer is late. The attempt that has a good
-// answer first wins, and the other one is canceled: exactly one wins, so that
-// the winner's answer is never cut off by the loser's success.
+// hedgeRace is the race between an attempt and its hedge. The first one with a successful response
+// wins and the other is canceled. Exactly one wins, so that the success of one never cuts off the
+// response of the other.
 type hedgeRace struct {
 	d           *Dispatcher
 	ctx         context.Context
 	call        *Call
 	first       pick.Grant
 	cancelFirst context.CancelFunc
-	// done gets the second attempt, or nil if there was none.
+	// done receives the hedge, or nil if none was sent.
 	done chan *attempt
 
-	mu           sync.Mutex
-	won          bool
-	cancelSecond context.CancelFunc
+	mu          sync.Mutex
+	won         bool
+	cancelHedge context.CancelFunc
 }
 
-// second makes the second attempt.
-func (r *hedgeRace) second() {
-	s := r.d.hedgeSend(r.ctx, r.call, r.first)
-	if s == nil {
+// sendHedge sends the hedge.
+func (r *hedgeRace) sendHedge() {
+	p := r.d.prepareHedge(r.ctx, r.call, r.first)
+	if p == nil {
 		r.done <- nil
 		return
 	}
 	ctx, cancel := context.WithCancel(r.ctx)
 	r.mu.Lock()
-	r.cancelSecond = cancel
-	late := r.won
+	r.cancelHedge = cancel
+	lost := r.won
 	r.mu.Unlock()
-	if late {
+	if lost {
 		cancel()
 	}
 	r.d.metrics.Retries.Add("hedge", 1)
-	a := r.d.attempt(ctx, r.call, *s)
+	a := r.d.attempt(ctx, r.call, *p)
 	a.addCancel(cancel)
-	if a.good() && r.win() {
+	if a.succeeded() && r.win() {
 		r.cancelFirst()
 	}
 	r.done <- a
 }
 
-// win reports whether the caller's attempt is the first with a good answer.
+// win reports whether the calling attempt is the first with a successful response.
 func (r *hedgeRace) win() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,39 +59,39 @@
 	return true
 }
 
-// settle returns the attempt to go on with, once the first one has ended or has
-// the head of its answer.
-func (r *hedgeRace) settle(h *history, first *attempt) *attempt {
-	if first.good() && r.win() {
-		r.dropSecond(h)
+// resolve returns the attempt to continue with, once the first one has failed or has received
+// its response header.
+func (r *hedgeRace) resolve(h *history, first *attempt) *attempt {
+	if first.succeeded() && r.win() {
+		r.discardHedge(h)
 		return first
 	}
-	second := <-r.done
-	if second == nil {
+	hedge := <-r.done
+	if hedge == nil {
 		return first
 	}
-	h.add(second)
-	if second.answered() || !first.answered() {
-		first.throwAway()
-		return second
+	h.add(hedge)
+	if hedge.hasResponse() || !first.hasResponse() {
+		first.abandon()
+		return hedge
 	}
-	second.throwAway()
+	hedge.abandon()
 	return first
 }
 
-// dropSecond cancels the second attempt and throws its answer away where it
-// arrives. It may have run: the call is idempotent.
-func (r *hedgeRace) dropSecond(h *history) {
+// discardHedge cancels the hedge and discards its response when it arrives. The hedge may have
+// run, which is safe because the call is idempotent.
+func (r *hedgeRace) discardHedge(h *history) {
 	h.mayHaveRun = true
 	r.mu.Lock()
-	cancel := r.cancelSecond
+	cancel := r.cancelHedge
 	r.mu.Unlock()
 	if cancel != nil {
 		cancel()
 	}
 	go func() {
 		if a := <-r.done; a != nil {
-			a.throwAway()
+			a.abandon()
 		}
 	}()
 }
--- a/dispatch/reply.go
+++ b/dispatch/reply.go
@@ -10,36 +10,35 @@
 	"github.com/cactusproxy/cactusproxy/pick"
 )
 
-// ReplyBody is the body of an answer. Its end, its breaking off or its being
-// closed early ends the attempt and releases the target.
+// ReplyBody is the body of a response. Closing it ends the attempt and releases the target.
 type ReplyBody struct {
-	src   io.ReadCloser
-	class pick.Class // if read to the end
-	ended bool
-	broke bool
-	once  sync.Once
-	done  func(pick.Class)
+	src     io.ReadCloser
+	class   pick.Class // reported if the body was read to its end
+	eof     bool
+	failed  bool
+	once    sync.Once
+	onClose func(pick.Class)
 }
 
-// NewReplyBody returns a body that calls done, if that is not nil, with how it
-// ended.
-func NewReplyBody(src io.ReadCloser, done func(pick.Class)) *ReplyBody {
-	if done == nil {
-		done = func(pick.Class) {}
+// NewReplyBody returns a ReplyBody that reads from src. Close calls onClose, unless it is nil,
+// with the way the body ended.
+func NewReplyBody(src io.ReadCloser, onClose func(pick.Class)) *ReplyBody {
+	if onClose == nil {
+		onClose = func(pick.Class) {}
 	}
-	return &ReplyBody{src: src, class: pick.OK, done: done}
+	return &ReplyBody{src: src, class: pick.OK, onClose: onClose}
 }
 
-// Read implements io.Reader. Any error but io.EOF means that the answer broke
-// off and must be broken off towards the caller too.
+// Read implements io.Reader. Any error other than io.EOF means that the response was truncated;
+// the caller's connection must then be broken too.
 func (b *ReplyBody) Read(p []byte) (int, error) {
 	n, err := b.src.Read(p)
 	switch {
 	case err == nil:
 	case errors.Is(err, io.EOF):
-		b.ended = true
+		b.eof = true
 	default:
-		b.broke = true
+		b.failed = true
 	}
 	return n, err
 }
@@ -47,23 +46,23 @@
 // Close implements io.Closer.
 func (b *ReplyBody) Close() error {
 	err := b.src.Close()
-	b.once.Do(func() { b.done(b.outcome()) })
+	b.once.Do(func() { b.onClose(b.endClass()) })
 	return err
 }
 
-func (b *ReplyBody) outcome() pick.Class {
+func (b *ReplyBody) endClass() pick.Class {
 	switch {
-	case b.ended:
+	case b.eof:
 		return b.class
-	case b.broke:
+	case b.failed:
 		return pick.BrokeOff
 	default:
 		return pick.Canceled
 	}
 }
 
-// stream returns the reply that passes an attempt's answer on as it comes.
-func (a *attempt) stream() *Reply {
+// streamReply returns a reply that forwards the response as it arrives.
+func (a *attempt) streamReply() *Reply {
 	resp := a.resp
 	return &Reply{
 		Result:  outcome.Result{Outcome: outcome.Answered, Reason: outcome.ReasonOK},
@@ -72,25 +71,25 @@
 		Trailer: resp.Trailer,
 		Length:  resp.ContentLength,
 		Body: &ReplyBody{
-			src:   resp.Body,
-			class: a.class,
-			done:  func(c pick.Class) { a.end(c) },
+			src:     resp.Body,
+			class:   a.class,
+			onClose: func(c pick.Class) { a.end(c) },
 		},
 	}
 }
 
-// maxKeptFailure bounds a failed answer that is kept while another attempt is
-// made, in bytes. A larger one is passed on without another attempt.
-const maxKeptFailure = 64 << 10
+// maxBufferedFailure is the largest error response, in bytes, that is kept while another attempt
+// is made. A larger one is forwarded without a retry.
+const maxBufferedFailure = 64 << 10
 
-// keepable reports whether a failed answer is small enough to be kept.
-func (a *attempt) keepable() bool {
-	return a.resp.ContentLength >= 0 && a.resp.ContentLength <= maxKeptFailure
+// failureBufferable reports whether an error response is small enough to be kept.
+func (a *attempt) failureBufferable() bool {
+	return a.resp.ContentLength >= 0 && a.resp.ContentLength <= maxBufferedFailure
 }
 
-// keep reads a failed answer whole and ends the attempt. It returns nil if the
-// answer broke off.
-func (a *attempt) keep() *Reply {
+// bufferFailure reads an error response completely and ends the attempt. It returns nil if the
+// response was truncated.
+func (a *attempt) bufferFailure() *Reply {
 	resp := a.resp
 	b, err := io.ReadAll(resp.Body)
 	_ = resp.Body.Close()
@@ -103,7 +102,7 @@
 	return memoryReply(resp.StatusCode, resp.Header, b, outcome.ReasonOK)
 }
 
-// memoryReply returns an answer that is held in memory.
+// memoryReply returns a reply whose body is held in memory.
 func memoryReply(status int, h map[string][]string, b []byte, r outcome.Reason) *Reply {
 	return &Reply{
 		Result: outcome.Result{Outcome: outcome.Answered, Reason: r},
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -9,30 +9,31 @@
 	"github.com/cactusproxy/cactusproxy/pick"
 )
 
-// Reasons, besides those told to callers, for which no further attempt is made.
-// They are the keys of the counter retries_refused.
+// Reasons why a call isn't retried, in addition to those reported to callers. They are the keys
+// of the counter retries_refused.
 const (
-	noRetryAttempts = "attempts-spent"
-	noRetryBudget   = "retry-budget"
-	noRetryMayRun   = "may-have-run"
-	noRetryBody     = "body-not-kept"
-	noRetryDeadline = "deadline"
-	noRetryStatus   = "status"
-	noRetryClaim    = "claim-too-old"
+	noRetryAttempts   = "attempts-spent"
+	noRetryBudget     = "retry-budget"
+	noRetryMayHaveRun = "may-have-run"
+	noRetryBody       = "body-not-kept"
+	noRetryDeadline   = "deadline"
+	noRetryStatus     = "status"
+	noRetryClaim      = "claim-too-old"
 )
 
-// mayRetry decides whether there is another attempt after a, and pays for it.
+// mayRetry decides whether the call is retried after attempt a, and deducts the retry from the
+// budget.
 //
-// A target that could not be reached is not paid for: no byte left, so nothing was
-// attempted there, and the budget is there to keep faults from being multiplied
-// into load on targets. Paid for, the loss of two targets at once refused calls
-// that three healthy ones had room for. The number of attempts still bounds it.
+// A retry after a failed connection isn't deducted: no byte was sent, and the budget exists to
+// keep failures from multiplying the load on targets. When it was deducted, the loss of two
+// targets at once caused calls to be refused for which three healthy targets had room. The number
+// of attempts is limited in any case.
 func (d *Dispatcher) mayRetry(ctx context.Context, c *Call, h *history, a *attempt) bool {
-	if why := refuseRetry(ctx, c, h, a); why != "" {
-		d.metrics.RetriesRefused.Add(why, 1)
+	if reason := retryRefusal(ctx, c, h, a); reason != "" {
+		d.metrics.RetriesRefused.Add(reason, 1)
 		return false
 	}
-	if a.class != pick.NotSent && !d.payRetry(c) {
+	if a.class != pick.NotSent && !d.takeRetryBudget(c) {
 		d.metrics.RetriesRefused.Add(noRetryBudget, 1)
 		return false
 	}
@@ -40,37 +41,37 @@
 	return true
 }
 
-// payRetry pays for one further attempt.
-func (d *Dispatcher) payRetry(c *Call) bool {
+// takeRetryBudget deducts a retry from the budget and reports whether there was room for it.
+func (d *Dispatcher) takeRetryBudget(c *Call) bool {
 	if d.retries != nil {
 		return d.retries.Take(c.Key, time.Now())
 	}
 	return d.workspace(c.Workspace).takeRetry(time.Now())
 }
 
-// refuseRetry returns why there can be no further attempt, or "".
-func refuseRetry(ctx context.Context, c *Call, h *history, a *attempt) string {
+// retryRefusal returns why the call can't be retried, or "" if it can.
+func retryRefusal(ctx context.Context, c *Call, h *history, a *attempt) string {
 	switch {
 	case ctx.Err() != nil:
 		return noRetryDeadline
-	case h.mayHaveRun && c.Repeat == Once:
-		// The target may be running the call at this moment: another attempt
-		// could bill a purchase twice.
-		return noRetryMayRun
+	case h.mayHaveRun && c.Idempotency == NonIdempotent:
+		// The target may be running the request right now: a retry could bill a purchase
+		// twice.
+		return noRetryMayHaveRun
 	case a.reason == outcome.ReasonKeyExpired:
 		return noRetryClaim
-	case h.attempts >= c.Attempts:
+	case h.attempts >= c.MaxAttempts:
 		return noRetryAttempts
 	case !c.Body.Replayable():
 		return noRetryBody
-	case a.answered() && !retryableStatus(a.resp.StatusCode):
+	case a.hasResponse() && !retryableStatus(a.resp.StatusCode):
 		return noRetryStatus
 	default:
 		return ""
 	}
 }
 
-// retryableStatus reports whether another target may do better.
+// retryableStatus reports whether another target may respond better than with this status.
 func retryableStatus(status int) bool {
 	switch status {
 	case http.StatusInternalServerError, http.StatusBadGateway,
@@ -81,7 +82,7 @@
 	}
 }
 
-// retryReason names the cause of a further attempt in the counter retries.
+// retryReason returns the key under which a retry is counted in the counter retries.
 func retryReason(a *attempt) string {
 	if a.class == pick.Failed {
 		return "target-failed"
--- a/dispatch/workspace.go
+++ b/dispatch/workspace.go
@@ -9,8 +9,8 @@
 	"github.com/cactusproxy/cactusproxy/policy/retry"
 )
 
-// workspace is what this host keeps of one workspace besides its declaration.
-type workspace struct {
+// workspaceState is the runtime state of one workspace on this host.
+type workspaceState struct {
 	inFlight atomic.Int64
 
 	mu      sync.Mutex
@@ -18,15 +18,15 @@
 	hedges  *retry.Budget
 }
 
-func newWorkspace(decl *declare.Workspace, now time.Time) *workspace {
-	return &workspace{
+func newWorkspaceState(decl *declare.Workspace, now time.Time) *workspaceState {
+	return &workspaceState{
 		retries: retry.NewBudget(decl.RetryRatio, now),
 		hedges:  retry.NewBudget(decl.HedgeRatio, now),
 	}
 }
 
-// begin notes a call, with the ratios now declared.
-func (w *workspace) begin(decl *declare.Workspace) {
+// recordCall adds a call to the budgets and applies the ratios declared now.
+func (w *workspaceState) recordCall(decl *declare.Workspace) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.retries.SetRatio(decl.RetryRatio)
@@ -35,25 +35,25 @@
 	w.hedges.Call()
 }
 
-// takeRetry pays for one further attempt.
-func (w *workspace) takeRetry(now time.Time) bool {
+// takeRetry reports whether the budget allows a retry, and deducts it if so.
+func (w *workspaceState) takeRetry(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.retries.Take(now)
 }
 
-// takeHedge pays for one hedge.
-func (w *workspace) takeHedge(now time.Time) bool {
+// takeHedge reports whether the budget allows a hedge, and deducts it if so.
+func (w *workspaceState) takeHedge(now time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.hedges.Take(now)
 }
 
-// workspace returns the state of a workspace, making it at first use.
-func (d *Dispatcher) workspace(decl *declare.Workspace) *workspace {
+// workspace returns the state of a workspace, which is created on first use.
+func (d *Dispatcher) workspace(decl *declare.Workspace) *workspaceState {
 	if w, ok := d.workspaces.Load(decl.Name); ok {
-		return w.(*workspace)
+		return w.(*workspaceState)
 	}
-	w, _ := d.workspaces.LoadOrStore(decl.Name, newWorkspace(decl, time.Now()))
-	return w.(*workspace)
+	w, _ := d.workspaces.LoadOrStore(decl.Name, newWorkspaceState(decl, time.Now()))
+	return w.(*workspaceState)
 }
--- a/entry/call.go
+++ b/entry/call.go
@@ -146,7 +146,7 @@
 		return
 	}
 	defer releaseBody()
-	l.Waited = c.Waited
+	l.Waited = c.PriorWait
 	release, refusal := s.deps.Dispatcher.Admit(c)
 	if release == nil {
 		s.refuse(w, l, refuseCall(r, m, refusal))
--- a/entry/request.go
+++ b/entry/request.go
@@ -27,30 +27,30 @@
 // good; the release function gives back the memory of its body.
 func (s *Server) newCall(r *http.Request, m Match) (*dispatch.Call, func(), outcome.Result) {
 	c := &dispatch.Call{
-		Workspace: m.Workspace,
-		Service:   m.Service,
-		Key:       blackboard.ServiceKey{Workspace: m.Workspace.Name, Service: m.Service.Name},
-		Method:    r.Method,
-		Host:      r.Host,
-		Header:    forwardable(r.Header),
-		Repeat:    dispatch.RepeatOf(r.Method),
-		Attempts:  s.attemptsLeft(r, m.Service.MaxAttempts),
-		Depth:     intHeader(r, s.deps.Contract.Depth, 0),
-		Objective: m.Objective,
-		Priority:  m.Priority,
-		Regions:   m.Regions,
-		Allowed:   m.Allowed,
-		Caller:    callerOf(r),
-		Arrived:   time.Now(),
-		Waited:    s.waited(r, m),
-		Sizes:     m.Sizes,
+		Workspace:       m.Workspace,
+		Service:         m.Service,
+		Key:             blackboard.ServiceKey{Workspace: m.Workspace.Name, Service: m.Service.Name},
+		Method:          r.Method,
+		Host:            r.Host,
+		Header:          forwardable(r.Header),
+		Idempotency:     dispatch.IdempotencyOf(r.Method),
+		MaxAttempts:     s.attemptsLeft(r, m.Service.MaxAttempts),
+		Depth:           intHeader(r, s.deps.Contract.Depth, 0),
+		Objective:       m.Objective,
+		Priority:        m.Priority,
+		Regions:         m.Regions,
+		StillAuthorized: m.Allowed,
+		Caller:          callerOf(r),
+		Arrived:         time.Now(),
+		PriorWait:       s.waited(r, m),
+		ResponseSizes:   m.Sizes,
 	}
 	s.setTenant(c.Header, m.Tenant)
 	if s.deps.Contract.Forwarded {
 		addForwarded(c.Header, r)
 	}
 	if m.Repeat != 0 {
-		c.Repeat = m.Repeat
+		c.Idempotency = m.Repeat
 	}
 	u := *r.URL
 	if m.Path != r.URL.Path {
@@ -62,7 +62,7 @@
 	}
 	if m.Service.IsAtMostOnce(r.Method, m.Path) {
 		c.AtMostOnce = true
-		c.Repeat = dispatch.Once
+		c.Idempotency = dispatch.NonIdempotent
 		c.IdempotencyKey = r.Header.Get(HeaderIdempotencyKey)
 	}
 	body, release, refusal := s.readBody(r, m)
@@ -71,7 +71,7 @@
 	}
 	c.Body = body
 	mem, _ := body.Bytes()
-	c.Suspicion = quarantine.Digest(c.Key.Workspace, c.Key.Service, c.Method, u.RequestURI(), mem, body.Length())
+	c.RequestDigest = quarantine.Digest(c.Key.Workspace, c.Key.Service, c.Method, u.RequestURI(), mem, body.Length())
 	return c, release, outcome.Result{}
 }
 
--- a/entry/router.go
+++ b/entry/router.go
@@ -38,7 +38,7 @@
 	Path string
 	// Repeat says what may be repeated; 0 leaves it to the method and the
 	// service's declaration.
-	Repeat dispatch.Repeat
+	Repeat dispatch.Idempotency
 	// Objective and Priority are those of dispatch.Call.
 	Objective time.Duration
 	Priority  int
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -97,7 +97,7 @@
 }
 
 func (f *RouteFinder) match(table *routing.Table, a Address, m found) (Match, outcome.Result) {
-	repeat := dispatch.Once
+	repeat := dispatch.NonIdempotent
 	if m.Route.Kind.Repeatable() {
 		repeat = dispatch.Idempotent
 	}
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -63,8 +63,8 @@
 	d := &recorder{reply: dispatch.Reply{Result: outcome.Refuse(outcome.ReasonNoTarget)}}
 	s := New(Deps{
 		Board: board, Dispatcher: d, Metrics: metrics.New(), BodyMemory: 1 << 10,
-		ConfigFresh:    func() bool { return true },
-		IssueKey: func(w, s, c string) string { return w + "/" + s + "/" + c },
+		ConfigFresh: func() bool { return true },
+		IssueKey:    func(w, s, c string) string { return w + "/" + s + "/" + c },
 	})
 	return s, d, board
 }
@@ -101,7 +101,7 @@
 	r.Header.Set(HeaderIdempotencyKey, "k")
 	do(s, r)
 	assert.Check(t, d.call.AtMostOnce)
-	assert.Equal(t, d.call.Repeat, dispatch.Once)
+	assert.Equal(t, d.call.Idempotency, dispatch.NonIdempotent)
 	assert.Equal(t, d.call.IdempotencyKey, "k")
 }
 
@@ -179,11 +179,11 @@
 	r := httptest.NewRequest(http.MethodGet, "http://auction.example/lots", nil)
 	r.Header.Set(targetapi.Default().Attempts, "9")
 	do(s, r)
-	assert.Equal(t, d.call.Attempts, 2)
+	assert.Equal(t, d.call.MaxAttempts, 2)
 	r.Header.Set(targetapi.Default().Attempts, "1")
 	r.Header.Set(targetapi.Default().Timeout, "100")
 	do(s, r)
-	assert.Equal(t, d.call.Attempts, 1)
+	assert.Equal(t, d.call.MaxAttempts, 1)
 	assert.Equal(t, s.timeout(r, time.Second), 100*time.Millisecond)
 	r.Header.Set(targetapi.Default().Timeout, "5000")
 	assert.Equal(t, s.timeout(r, time.Second), time.Second)
@@ -284,8 +284,8 @@
 		return d.call
 	}
 	for range 20 {
-		assert.Equal(t, send("1500").Waited, time.Duration(0))
+		assert.Equal(t, send("1500").PriorWait, time.Duration(0))
 	}
-	assert.Equal(t, send("1100").Waited, 400*time.Millisecond)
+	assert.Equal(t, send("1100").PriorWait, 400*time.Millisecond)
 	assert.Check(t, time.Since(d.call.Arrived) < 400*time.Millisecond)
 }
--- a/entry/tenant_test.go
+++ b/entry/tenant_test.go
@@ -68,10 +68,10 @@
 	log := new(calls)
 	s := New(Deps{
 		Board: board, Dispatcher: d, Metrics: metrics.New(), BodyMemory: 1 << 20,
-		ConfigFresh:    func() bool { return true },
-		Finder:   NewRouteFinder(board, nobody{}),
-		CallLog:    log,
-		Contract: &targetapi.Contract{Key: headerKey, Tenant: headerTenant},
+		ConfigFresh: func() bool { return true },
+		Finder:      NewRouteFinder(board, nobody{}),
+		CallLog:     log,
+		Contract:    &targetapi.Contract{Key: headerKey, Tenant: headerTenant},
 	})
 	k := &keyedServer{Server: s, sent: d, board: board, log: log}
 	k.put(c)
@@ -165,11 +165,11 @@
 	k := newKeyedServer(t, tenantsConfig(1, tenant("school", "key-1")))
 	k.ask("/lots/7", headerKey, "key-1")
 	waiting := k.sent.call
-	assert.Check(t, waiting.Allowed())
+	assert.Check(t, waiting.StillAuthorized())
 	k.put(tenantsConfig(2, tenant("school", "key-1", "key-2")))
-	assert.Check(t, waiting.Allowed())
+	assert.Check(t, waiting.StillAuthorized())
 	k.put(tenantsConfig(3, tenant("school", "key-2"), tenant("other", "key-1")))
-	assert.Check(t, !waiting.Allowed(), "the key is another tenant's by now")
+	assert.Check(t, !waiting.StillAuthorized(), "the key is another tenant's by now")
 	assert.Equal(t, k.ask("/lots/7", headerKey, "key-9").Code, http.StatusUnauthorized)
 	k.ask("/lots/7", headerKey, "key-2")
 	assert.DeepEqual(t, k.sent.call.Header[headerTenant], []string{"school"})
