--- a/entry/call.go
+++ b/entry/call.go
@@ -14,20 +14,20 @@
 	"github.com/cactusproxy/cactusproxy/policy/quota"
 )
 
-// call serves one call of a caller.
-func (s *Server) call(w http.ResponseWriter, r *http.Request) {
+// handleCall serves one call and counts it as in flight.
+func (s *Server) handleCall(w http.ResponseWriter, r *http.Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	if r.ContentLength == 0 || r.ProtoMajor != 1 {
 		s.logged(w, r)
 		return
 	}
-	u := newUploadWriter(w, r, s.bodies)
+	u := newUploadWriter(w, r, s.bodyRate)
 	s.logged(u, u.request)
-	u.end()
+	u.drain()
 }
 
-// logged serves a call and tells the log of calls about it.
+// logged serves a call and reports it to the call log.
 func (s *Server) logged(w http.ResponseWriter, r *http.Request) {
 	if s.deps.CallLog == nil {
 		s.route(w, r, &calllog.Call{})
@@ -44,16 +44,16 @@
 	s.route(w, r, c)
 }
 
-// route finds where a call leads and serves it. What becomes of it is noted in c.
+// route finds the service that a request is for and serves the call. It records the result in c.
 func (s *Server) route(w http.ResponseWriter, r *http.Request, c *calllog.Call) {
 	if name := s.deps.Contract.RequestID; name != "" {
 		w.Header().Set(name, r.Header.Get(name))
 	}
 	status := s.deps.Board.Status.Load()
 	if status.Leaving {
-		// The caller opens its next connection through the balancer, to a host
-		// that stays. Closing the idle connection instead would reset a request
-		// that is just being sent on it.
+		// The caller opens its next connection through the load balancer, to a host that
+		// stays. If the idle connection were closed instead, a request that is just being
+		// sent on it would be reset.
 		w.Header().Set("Connection", "close")
 	}
 	if !status.Serving() {
@@ -61,7 +61,7 @@
 		status = s.deps.Board.Status.Load()
 	}
 	if !status.Serving() || !s.deps.ConfigFresh() {
-		s.refuse(w, c, refuseKey(r, outcome.Refuse(outcome.ReasonNotReady)))
+		s.refuse(w, c, keyedRefusal(r, outcome.Refuse(outcome.ReasonNotReady)))
 		return
 	}
 	if r.Method == http.MethodConnect {
@@ -71,29 +71,29 @@
 	m, refusal := s.find(r)
 	c.ConfigVersion = m.ConfigVersion
 	if refusal.Outcome != 0 {
-		s.refuse(w, c, refuseKey(r, refusal))
+		s.refuse(w, c, keyedRefusal(r, refusal))
 		return
 	}
 	c.Service = m.Service.Name
 	c.Tenant = m.Tenant
-	if refusal := s.overQuota(m); refusal.Outcome != 0 {
-		s.refuse(w, c, refuseCall(r, m, refusal))
+	if refusal := s.knownOverQuota(m); refusal.Outcome != 0 {
+		s.refuse(w, c, callRefusal(r, m, refusal))
 		return
 	}
 	s.serve(w, r, m, c)
 }
 
-// overQuota returns what a request is told whose tenant is known to have no room, before its
-// body is read.
-func (s *Server) overQuota(m Match) outcome.Result {
+// knownOverQuota returns the refusal of a request whose tenant is already known to be over quota,
+// so that its body isn't read. Otherwise it returns the zero Result.
+func (s *Server) knownOverQuota(m Match) outcome.Result {
 	if s.deps.Quota == nil || m.Tenant == "" {
 		return outcome.Result{}
 	}
 	return s.deps.Quota.Refused(m.Tenant)
 }
 
-// within counts a request against its tenant's quota.
-func (s *Server) within(ctx context.Context, r *http.Request, m Match) outcome.Result {
+// takeQuota counts a request against its tenant's quota.
+func (s *Server) takeQuota(ctx context.Context, r *http.Request, m Match) outcome.Result {
 	if s.deps.Quota == nil || m.Tenant == "" {
 		return outcome.Result{}
 	}
@@ -101,99 +101,99 @@
 	return s.deps.Quota.Take(ctx, quota.Request{Name: m.Tenant, Route: m.Route, Objective: m.Objective, Left: left})
 }
 
-// giveBack returns to a tenant's quota what a request took that did not run.
-func (s *Server) giveBack(m Match, r outcome.Result) {
+// returnQuota returns what a request took from its tenant's quota if the request did not run.
+func (s *Server) returnQuota(m Match, r outcome.Result) {
 	if s.deps.Quota != nil && m.Tenant != "" && r.Outcome == outcome.NotRun {
 		s.deps.Quota.Return(m.Tenant)
 	}
 }
 
-// startWait bounds how long a call waits for a host that has just started, which
-// takes 50 to 150 ms; startShare is the most of the caller's time that goes into it.
+// startWait is the maximum time that a call waits for a host that has just started, which takes 50
+// to 150 ms. A call waits no longer than 1/startWaitDivisor of the time that the caller has left.
 const (
-	startWait  = 250 * time.Millisecond
-	startShare = 4
+	startWait        = 250 * time.Millisecond
+	startWaitDivisor = 4
 )
 
-// awaitStart holds a call while the host learns its configuration and targets.
+// awaitStart delays a call until the host has loaded its configuration and targets.
 //
-// Refused at once, callers that waited for a start of all hosts would spend their tries on other
-// hosts that know as little.
+// If calls were refused immediately, callers would spend their retries on hosts that aren't ready
+// either when all hosts start at once.
 func (s *Server) awaitStart(r *http.Request) {
 	if s.deps.AwaitStart == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), min(startWait, s.timeout(r, startShare*startWait)/startShare))
+	ctx, cancel := context.WithTimeout(r.Context(), min(startWait, s.timeout(r, startWaitDivisor*startWait)/startWaitDivisor))
 	defer cancel()
 	s.deps.AwaitStart(ctx)
 }
 
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, m Match, l *calllog.Call) {
-	l.Timeout = s.timeout(r, m.Service.Timeout)
-	ctx, cancel := context.WithTimeout(r.Context(), l.Timeout)
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, m Match, rec *calllog.Call) {
+	rec.Timeout = s.timeout(r, m.Service.Timeout)
+	ctx, cancel := context.WithTimeout(r.Context(), rec.Timeout)
 	defer cancel()
-	// A body that trickles in must not keep the caller waiting beyond its time. After
-	// a refusal the deadline stays: the server would otherwise wait for the rest of
-	// the body before it sends the answer.
+	// A slow upload must not keep the caller waiting beyond its timeout. The deadline stays in
+	// place after a refusal, because the server would otherwise read the rest of the body
+	// before it sends the response.
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(l.Timeout)) // not every writer has one
+	_ = control.SetReadDeadline(time.Now().Add(rec.Timeout)) // not every writer supports it
 	c, releaseBody, refusal := s.newCall(r, m)
 	if refusal.Outcome == 0 {
 		_ = control.SetReadDeadline(time.Time{})
 	}
 	if refusal.Outcome != 0 {
-		s.refuse(w, l, refuseCall(r, m, refusal))
+		s.refuse(w, rec, callRefusal(r, m, refusal))
 		return
 	}
 	defer releaseBody()
-	l.Waited = c.PriorWait
+	rec.Waited = c.PriorWait
 	release, refusal := s.deps.Dispatcher.Admit(c)
 	if release == nil {
-		s.refuse(w, l, refuseCall(r, m, refusal))
+		s.refuse(w, rec, callRefusal(r, m, refusal))
 		return
 	}
 	defer release()
-	if refusal := s.within(ctx, r, m); refusal.Outcome != 0 {
-		s.refuse(w, l, refuseCall(r, m, refusal))
+	if refusal := s.takeQuota(ctx, r, m); refusal.Outcome != 0 {
+		s.refuse(w, rec, callRefusal(r, m, refusal))
 		return
 	}
 	if _, inMemory := c.Body.Bytes(); !inMemory {
-		// Without this the answer to an upload could not begin before the whole
-		// upload was read.
+		// Otherwise the response to an upload could not begin before the whole upload has been
+		// read.
 		_ = http.NewResponseController(w).EnableFullDuplex()
 	}
 	reply := s.deps.Dispatcher.Do(ctx, c)
-	s.giveBack(m, reply.Result)
-	s.reply(w, l, reply)
+	s.returnQuota(m, reply.Result)
+	s.reply(w, rec, reply)
 }
 
-// refuseKey returns what a request is told that is refused before anybody asked
-// for the claim of its key. An earlier send of the same key may have run through
-// another host; were this one told not-run, its caller would take the purchase
-// for not made and buy again under a new key. So a request with a key is told
-// unknown, and its caller sends the same key again.
-func refuseKey(r *http.Request, refusal outcome.Result) outcome.Result {
+// keyedRefusal returns the result for a request that is refused before the claim of its
+// idempotency key has been looked up. An earlier request with the same key may have run through
+// another host; if this one were reported as not-run, the caller would assume that the purchase
+// failed and repeat it under a new key. So a request with a key gets the outcome unknown, and the
+// caller retries with the same key.
+func keyedRefusal(r *http.Request, refusal outcome.Result) outcome.Result {
 	if r.Header.Get(HeaderIdempotencyKey) != "" {
 		refusal.Outcome = outcome.Unknown
 	}
 	return refusal
 }
 
-// refuseCall is refuseKey for a request whose service is known: a key means
-// something for at-most-once calls alone.
-func refuseCall(r *http.Request, m Match, refusal outcome.Result) outcome.Result {
+// callRefusal is like keyedRefusal for a request whose service is known: the key only matters for
+// at-most-once calls.
+func callRefusal(r *http.Request, m Match, refusal outcome.Result) outcome.Result {
 	if m.Service.IsAtMostOnce(r.Method, m.Path) {
-		return refuseKey(r, refusal)
+		return keyedRefusal(r, refusal)
 	}
 	return refusal
 }
 
-// reply writes what came of a call.
-func (s *Server) reply(w http.ResponseWriter, l *calllog.Call, r *dispatch.Reply) {
-	l.Result, l.Status, l.Attempts = r.Result, r.Status, r.Attempts
-	s.count(r.Result)
+// reply writes the reply of a call to the caller.
+func (s *Server) reply(w http.ResponseWriter, rec *calllog.Call, r *dispatch.Reply) {
+	rec.Result, rec.Status, rec.Attempts = r.Result, r.Status, r.Attempts
+	s.countResult(r.Result)
 	if r.Body == nil {
-		s.write(w, r.Result)
+		s.writeResult(w, r.Result)
 		return
 	}
 	defer r.Body.Close()
@@ -211,11 +211,10 @@
 	setOutcome(h, r.Result)
 	w.WriteHeader(r.Status)
 	if err := copyBody(w, r); err != nil {
-		// The answer broke off, or the caller is gone. Ending the reply as if it
-		// were complete would pass a part off as the whole; aborting breaks the
-		// caller's connection instead. What came is flushed first: a caller that
-		// saw no part of an answer might take the call for one that was never
-		// read and send it again by itself.
+		// The response was truncated, or the caller is gone. Ending the response normally would
+		// make a part look complete; aborting breaks the caller's connection instead. What has
+		// arrived is flushed first: a client that has seen no part of a response may assume that
+		// its request was never read and resend it automatically.
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
 	}
@@ -224,13 +223,13 @@
 	}
 }
 
-// copyBufferSize is how much of an answer is read at a time, in bytes.
+// copyBufferSize is how much of a response is read at a time, in bytes.
 const copyBufferSize = 32 << 10
 
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferSize]byte) }}
 
-// copyBody passes an answer on. One whose length is not known is flushed as it
-// comes, since it may be a stream of events.
+// copyBody forwards a response body. If its length is unknown, every read is flushed, since the
+// response may be an event stream.
 func copyBody(w http.ResponseWriter, r *dispatch.Reply) error {
 	buf := copyBuffers.Get().(*[copyBufferSize]byte)
 	defer copyBuffers.Put(buf)
@@ -257,14 +256,14 @@
 	}
 }
 
-// refuse tells a caller what cactusproxy itself has to say.
+// refuse writes a reply that cactusproxy generates itself and records it in c.
 func (s *Server) refuse(w http.ResponseWriter, c *calllog.Call, r outcome.Result) {
 	c.Result, c.Status = r, r.Status()
-	s.count(r)
-	s.write(w, r)
+	s.countResult(r)
+	s.writeResult(w, r)
 }
 
-func (s *Server) write(w http.ResponseWriter, r outcome.Result) {
+func (s *Server) writeResult(w http.ResponseWriter, r outcome.Result) {
 	h := w.Header()
 	setOutcome(h, r)
 	if r.RetryAfter > 0 {
@@ -282,7 +281,7 @@
 	h.Set(outcome.HeaderReason, string(r.Reason))
 }
 
-func (s *Server) count(r outcome.Result) {
+func (s *Server) countResult(r outcome.Result) {
 	s.deps.Metrics.Calls.Add(r.Outcome.String(), 1)
 	s.deps.Metrics.Reasons.Add(string(r.Reason), 1)
 }
--- a/entry/denial_test.go
+++ b/entry/denial_test.go
@@ -19,13 +19,13 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// calls is a CallLog that keeps the last call.
-type calls struct{ last calllog.Call }
+// lastCallLog is a CallLog that keeps the last call.
+type lastCallLog struct{ last calllog.Call }
 
-func (c *calls) Ended(call calllog.Call) { c.last = call }
+func (c *lastCallLog) Ended(call calllog.Call) { c.last = call }
 
-// smallBodies is a configuration with one route, whose bodies may have ten bytes.
-func smallBodies(version uint64) *routing.Config {
+// smallBodyConfig is a configuration with one route whose bodies are limited to ten bytes.
+func smallBodyConfig(version uint64) *routing.Config {
 	return &routing.Config{
 		Version:  version,
 		Routes:   []routing.Route{{Name: "lots", Host: "auction.example", Prefix: "/lots/", Kind: routing.Upload, Timeout: time.Second, Parts: []routing.Part{{Service: "lots", Weight: 1}}}},
@@ -34,58 +34,58 @@
 	}
 }
 
-// newRouteServer returns a server of a platform that declares routes; the version is 0 if it
-// knows no configuration.
-func newRouteServer(t *testing.T, version uint64, heard blackboard.Confirmation) (*Server, *calls) {
+// newRouteServer returns a server for a platform that declares routes; version 0 means that it has
+// no configuration.
+func newRouteServer(t *testing.T, version uint64, confirmation blackboard.Confirmation) (*Server, *lastCallLog) {
 	t.Helper()
 	s, _, board := newServer(t)
 	if version > 0 {
-		board.Routes.Store(routing.NewTable(smallBodies(version), rand.New(rand.NewPCG(1, 1))))
+		board.Routes.Store(routing.NewTable(smallBodyConfig(version), rand.New(rand.NewPCG(1, 1))))
 	}
-	board.Confirmation.Store(heard)
-	log := new(calls)
-	s.deps.Finder = NewRouteFinder(board, nobody{})
+	board.Confirmation.Store(confirmation)
+	log := new(lastCallLog)
+	s.deps.Finder = NewRouteFinder(board, nopConfirmer{})
 	s.deps.CallLog = log
 	return s, log
 }
 
-func askNowhere(s *Server) *httptest.ResponseRecorder {
+func requestUnknownRoute(s *Server) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	s.ProxyHandler().ServeHTTP(w, httptest.NewRequest(http.MethodGet, "http://auction.example/nowhere/", nil))
 	return w
 }
 
-// An operator must see from the line of a call that was denied by which version it was, and
+// The log entry of a denied call must tell operators which configuration version denied it and
 // whether the host had heard of a newer one.
 func TestLineOfADeniedCallTellsWhatTheHostKnew(t *testing.T) {
 	s, log := newRouteServer(t, 2, blackboard.Confirmation{Newest: 2, At: time.Now()})
-	assert.Equal(t, askNowhere(s).Code, http.StatusNotFound)
+	assert.Equal(t, requestUnknownRoute(s).Code, http.StatusNotFound)
 	assert.Equal(t, log.last.ConfigVersion, uint64(2))
 	assert.Equal(t, log.last.Result.Reason, outcome.ReasonNoRoute)
 	assert.Check(t, strings.HasPrefix(log.last.Result.Why, "newest=2 confirmed "), log.last.Result.Why)
 }
 
-// A host that knows no configuration can not say that a request has no route: another host may
+// A host without a configuration can't say that a request has no route, since another host may
 // have one.
 func TestHostWithoutAConfigurationDeniesNothing(t *testing.T) {
 	s, log := newRouteServer(t, 0, blackboard.Confirmation{Newest: 2, At: time.Now()})
-	w := askNowhere(s)
+	w := requestUnknownRoute(s)
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, log.last.Result.Reason, outcome.ReasonNotReady)
 	assert.Check(t, w.Header().Get("Retry-After") != "")
 }
 
-// A host is behind: it heard of a newer configuration, or nothing for too long. Callers of a
-// route that it does not know are told to come again, at any host, and that their request did
-// not run; a 404 would have them give up.
-func TestHostThatIsBehindHasCallersComeAgain(t *testing.T) {
+// A host has an outdated configuration: it has heard of a newer one, or has had no confirmation
+// for too long. Callers of a route that it doesn't know must be told to retry and that their
+// request did not run; with a 404 they would give up.
+func TestOutdatedHostTellsCallersToRetry(t *testing.T) {
 	for name, heard := range map[string]blackboard.Confirmation{
-		"a newer one was heard of": {Newest: 5, At: time.Now()},
-		"confirmed too long ago":   {Newest: 2, At: time.Now().Add(-2 * denial.MaxAge)},
-		"never confirmed":          {},
+		"newer version known":    {Newest: 5, At: time.Now()},
+		"confirmed too long ago": {Newest: 2, At: time.Now().Add(-2 * denial.MaxAge)},
+		"never confirmed":        {},
 	} {
 		s, log := newRouteServer(t, 2, heard)
-		w := askNowhere(s)
+		w := requestUnknownRoute(s)
 		assert.Equal(t, w.Code, http.StatusServiceUnavailable, name)
 		assert.Equal(t, w.Header().Get(outcome.HeaderOutcome), outcome.NotRun.String(), name)
 		assert.Check(t, w.Header().Get("Retry-After") != "", name)
@@ -94,9 +94,9 @@
 	}
 }
 
-// The operator has just allowed larger bodies. A host that is behind must not tell the caller
-// of one that it is too large: 413 is not repeated, as 404 is not.
-func TestHostThatIsBehindCallsNoBodyTooLarge(t *testing.T) {
+// The operator has just raised the body limit. A host with an outdated configuration must not
+// respond with 413, because callers don't retry that.
+func TestOutdatedHostDoesNotRefuseLargeBody(t *testing.T) {
 	for _, length := range []int64{11, -1} {
 		for newest, want := range map[uint64]int{2: http.StatusRequestEntityTooLarge, 5: http.StatusServiceUnavailable} {
 			s, log := newRouteServer(t, 2, blackboard.Confirmation{Newest: newest, At: time.Now()})
@@ -111,7 +111,7 @@
 	}
 }
 
-// nobody is a Confirmer that learns nothing.
-type nobody struct{}
+// nopConfirmer is a Confirmer that learns nothing.
+type nopConfirmer struct{}
 
-func (nobody) Confirm(context.Context) {}
+func (nopConfirmer) Confirm(context.Context) {}
--- a/entry/early_test.go
+++ b/entry/early_test.go
@@ -26,16 +26,16 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// earlyTarget answers each upload before it has read it. Under /lots/reads it reads on
-// after that and keeps the connection, under /lots/waits it does nothing for a while and
-// closes it, elsewhere it closes it at once. It counts requests for /lots/inside.
-type earlyTarget struct{ inside atomic.Int32 }
+// earlyTarget responds to each upload before it has read it. For /lots/reads it then reads the
+// rest and keeps the connection, for /lots/waits it waits for a while and closes the connection,
+// and for other paths it closes the connection immediately. It counts requests for /lots/inside.
+type earlyTarget struct{ smuggled atomic.Int32 }
 
-const earlyAnswer = "early"
+const earlyBody = "early"
 
 func (e *earlyTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/lots/inside" {
-		e.inside.Add(1)
+		e.smuggled.Add(1)
 	}
 	if r.Method == http.MethodGet {
 		_, _ = io.WriteString(w, r.URL.Path)
@@ -46,8 +46,8 @@
 	if r.URL.Path != "/lots/reads" {
 		w.Header().Set("Connection", "close")
 	}
-	w.Header().Set("Content-Length", fmt.Sprint(len(earlyAnswer)))
-	_, _ = io.WriteString(w, earlyAnswer)
+	w.Header().Set("Content-Length", fmt.Sprint(len(earlyBody)))
+	_, _ = io.WriteString(w, earlyBody)
 	_ = control.Flush()
 	switch r.URL.Path {
 	case "/lots/reads":
@@ -57,19 +57,19 @@
 	}
 }
 
-// oneTarget grants the target at an address to each call.
-type oneTarget string
+// singleTarget is a Picker that grants the target at one address to every call.
+type singleTarget string
 
-func (o oneTarget) Pick(context.Context, pick.Request) (pick.Grant, outcome.Result) {
-	return o, outcome.Result{}
+func (t singleTarget) Pick(context.Context, pick.Request) (pick.Grant, outcome.Result) {
+	return t, outcome.Result{}
 }
 
-func (o oneTarget) Target() blackboard.Target { return blackboard.Target{ID: "t1", Addr: string(o)} }
+func (t singleTarget) Target() blackboard.Target { return blackboard.Target{ID: "t1", Addr: string(t)} }
 
-func (o oneTarget) Release(pick.Report) {}
+func (t singleTarget) Release(pick.Report) {}
 
-// startEntry starts a target and a server in front of it, and returns the server's address.
-// The test fails if net/http answers anything by itself: all requests are proper.
+// startEntry starts a target and a Server in front of it, and returns the Server's address. The
+// test fails if net/http responds to anything by itself, because all requests are valid.
 func startEntry(t *testing.T, target http.Handler) string {
 	t.Helper()
 	back := httptest.NewServer(target)
@@ -84,13 +84,13 @@
 	m := metrics.New()
 	pools := upstream.New(upstream.Options{})
 	d := dispatch.New(dispatch.Deps{
-		Board: board, Picker: oneTarget(back.Listener.Addr().String()), Upstream: pools, Metrics: m, ResponseBufferBytes: 1 << 20,
+		Board: board, Picker: singleTarget(back.Listener.Addr().String()), Upstream: pools, Metrics: m, ResponseBufferBytes: 1 << 20,
 	})
 	s := New(Deps{Board: board, Dispatcher: d, Metrics: m, BodyMemory: 1 << 20, ConfigFresh: func() bool { return true }})
 	front := httptest.NewUnstartedServer(s)
-	own := NewServerResponseMonitor(zap.NewNop(), m, "")
-	front.Listener = own.Listener(front.Listener)
-	own.Attach(front.Config)
+	monitor := NewServerResponseMonitor(zap.NewNop(), m, "")
+	front.Listener = monitor.Listener(front.Listener)
+	monitor.Attach(front.Config)
 	front.Start()
 	t.Cleanup(func() {
 		front.CloseClientConnections()
@@ -99,35 +99,35 @@
 		back.CloseClientConnections()
 		back.Close()
 		_ = board.Close()
-		own := m.Map("answers_of_http").String()
-		assert.Check(t, own == "{}", own)
+		counted := m.Map("answers_of_http").String()
+		assert.Check(t, counted == "{}", counted)
 	})
 	return front.Listener.Addr().String()
 }
 
-// caller is one connection to a server.
-type caller struct {
+// clientConn is a client connection to a server.
+type clientConn struct {
 	t    *testing.T
 	conn net.Conn
 	r    *bufio.Reader
 }
 
-func newCaller(t *testing.T, addr string) *caller {
+func newClientConn(t *testing.T, addr string) *clientConn {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	assert.NilError(t, conn.SetDeadline(time.Now().Add(5*time.Second)))
-	return &caller{t: t, conn: conn, r: bufio.NewReader(conn)}
+	return &clientConn{t: t, conn: conn, r: bufio.NewReader(conn)}
 }
 
-func (c *caller) send(text string) error {
+func (c *clientConn) send(text string) error {
 	_, err := io.WriteString(c.conn, text)
 	return err
 }
 
-// answer reads an answer and its body.
-func (c *caller) answer(method string) (*http.Response, string) {
+// readResponse reads a response and its body.
+func (c *clientConn) readResponse(method string) (*http.Response, string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 	assert.NilError(c.t, err)
@@ -136,7 +136,7 @@
 	return resp, string(body)
 }
 
-// upload returns the head and the body of an upload as they go over the wire.
+// upload returns the header and the body of an upload as they are sent on the wire.
 func upload(path, content string, chunked bool) (head, body string) {
 	head = "POST " + path + " HTTP/1.1\r\nHost: auction.example\r\n"
 	if !chunked {
@@ -152,11 +152,10 @@
 	return head + "Transfer-Encoding: chunked\r\n\r\n", b.String() + "0\r\n\r\n"
 }
 
-// The caller sends a proper request on the connection on which its upload was answered,
-// and gets 400 of net/http's own, without a reason and without a line.
-// The target answers the upload early; the caller has the whole answer, sends the rest of
-// the upload and then the next request. The answer's end breaks off the reading of the
-// upload in the middle of a chunk, and net/http takes the rest for a request.
+// A target responds to an upload early; the caller receives the complete response, sends the
+// rest of the upload and then its next request on the same connection. If reading the upload
+// stops in the middle of a chunk when the response ends, net/http parses the rest of the upload
+// as a request and responds to the caller's valid request with a 400 that isn't logged.
 func TestRequestAfterAnEarlyAnswerIsServed(t *testing.T) {
 	addr := startEntry(t, new(earlyTarget))
 	for _, path := range []string{"/lots/reads", "/lots/waits", "/lots/ends"} {
@@ -167,7 +166,7 @@
 					t.Run(name, func(t *testing.T) {
 						t.Parallel()
 						head, body := upload(path, strings.Repeat("x", size), chunked)
-						playEarlyAnswer(t, addr, head, body, len(body)*percent/100)
+						checkEarlyResponse(t, addr, head, body, len(body)*percent/100)
 					})
 				}
 			}
@@ -175,47 +174,46 @@
 	}
 }
 
-// playEarlyAnswer sends an upload up to a byte, reads the answer, sends the rest and then
-// another request, on a new connection if the answer asks for one.
-func playEarlyAnswer(t *testing.T, addr, head, body string, first int) {
-	c := newCaller(t, addr)
+// checkEarlyResponse sends a part of an upload, reads the response, sends the rest and then
+// another request, on a new connection if the response asks for one.
+func checkEarlyResponse(t *testing.T, addr, head, body string, first int) {
+	c := newClientConn(t, addr)
 	assert.NilError(t, c.send(head+body[:first]))
-	resp, text := c.answer(http.MethodPost)
-	assert.Equal(t, text, earlyAnswer)
+	resp, text := c.readResponse(http.MethodPost)
+	assert.Equal(t, text, earlyBody)
 	err := c.send(body[first:])
 	if resp.Close {
-		c = newCaller(t, addr)
+		c = newClientConn(t, addr)
 	} else {
 		assert.NilError(t, err)
 	}
 	assert.NilError(t, c.send("GET /lots/next HTTP/1.1\r\nHost: auction.example\r\n\r\n"))
-	resp, text = c.answer(http.MethodGet)
+	resp, text = c.readResponse(http.MethodGet)
 	assert.Equal(t, resp.StatusCode, http.StatusOK, "%s", text)
 	assert.Equal(t, text, "/lots/next")
 }
 
-// The caller gets an answer that it did not ask for, and takes it for the one to its next
-// request.
-// The target answers the upload early, and the caller goes on sending. The rest of the
-// upload begins, by chance or by intent, as a request does, and is read as one.
+// A target responds to an upload early and the caller keeps sending. If the rest of the upload
+// looks like a request, by chance or on purpose, it must not be parsed as one (request
+// smuggling): the caller would take its response for the one to its next request.
 func TestContentOfAnUploadIsNeverARequest(t *testing.T) {
 	target := new(earlyTarget)
 	addr := startEntry(t, target)
-	const inside = "GET /lots/inside HTTP/1.1\r\nHost: auction.example\r\n\r\n"
-	c := newCaller(t, addr)
+	const smuggled = "GET /lots/inside HTTP/1.1\r\nHost: auction.example\r\n\r\n"
+	c := newClientConn(t, addr)
 	head := "POST /lots/reads HTTP/1.1\r\nHost: auction.example\r\nTransfer-Encoding: chunked\r\n\r\n"
-	first := fmt.Sprintf("%x\r\n%s", 100+len(inside), strings.Repeat("x", 100))
+	first := fmt.Sprintf("%x\r\n%s", 100+len(smuggled), strings.Repeat("x", 100))
 	assert.NilError(t, c.send(head+first))
-	c.answer(http.MethodPost)
-	time.Sleep(50 * time.Millisecond) // until the host has done with the upload
-	_ = c.send(inside)                // the connection may be closed by now
+	c.readResponse(http.MethodPost)
+	time.Sleep(50 * time.Millisecond) // until the host has finished with the upload
+	_ = c.send(smuggled)              // the connection may already be closed
 	resp, err := http.ReadResponse(c.r, nil)
 	assert.Check(t, err != nil, "%v", resp)
-	assert.Equal(t, target.inside.Load(), int32(0))
+	assert.Equal(t, target.smuggled.Load(), int32(0))
 }
 
-// An upload is refused by its target, and a host says so before the upload has ended. The
-// caller's next request is served.
+// A target rejects an upload, and the host reports that before the upload has ended. The caller's
+// next request must be served.
 func TestRequestAfterAnUploadRefusedEarlyIsServed(t *testing.T) {
 	addr := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -226,50 +224,50 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	for _, chunked := range []bool{false, true} {
-		c := newCaller(t, addr)
+		c := newClientConn(t, addr)
 		head, body := upload("/lots/7", strings.Repeat("x", 300<<10), chunked)
 		assert.NilError(t, c.send(head+body[:300]))
-		resp, text := c.answer(http.MethodPost)
+		resp, text := c.readResponse(http.MethodPost)
 		assert.Equal(t, text, "not-run shed\n")
 		assert.Check(t, resp.Close)
-		_ = c.send(body[300:]) // it may be closed by now
-		c = newCaller(t, addr)
+		_ = c.send(body[300:]) // the connection may already be closed
+		c = newClientConn(t, addr)
 		assert.NilError(t, c.send("GET /lots/next HTTP/1.1\r\nHost: auction.example\r\n\r\n"))
-		resp, _ = c.answer(http.MethodGet)
+		resp, _ = c.readResponse(http.MethodGet)
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
 	}
 }
 
-// A connection stays in use after an upload that was read whole before its answer, however
-// it was sent.
+// The connection must stay open after an upload that was read completely before its response,
+// with either transfer encoding.
 func TestConnectionStaysAfterAnUpload(t *testing.T) {
 	addr := startEntry(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		n, err := io.Copy(io.Discard, r.Body)
 		assert.Check(t, err)
 		_, _ = fmt.Fprint(w, n)
 	}))
-	c := newCaller(t, addr)
+	c := newClientConn(t, addr)
 	for _, chunked := range []bool{false, true} {
 		for _, size := range []int{0, 1, 16, 17, 5000, 300 << 10, 2 << 20} {
 			head, body := upload("/lots/7", strings.Repeat("x", size), chunked)
 			assert.NilError(t, c.send(head+body))
-			resp, text := c.answer(http.MethodPost)
+			resp, text := c.readResponse(http.MethodPost)
 			assert.Equal(t, text, fmt.Sprint(size))
 			assert.Check(t, !resp.Close)
 		}
 	}
 }
 
-// A caller stops in the middle of its upload once it has the answer, or does not begin one
-// that it was to be asked for. Its connection is closed within a second.
-func TestUploadThatStopsAtItsAnswerHoldsNothing(t *testing.T) {
+// A caller stops in the middle of its upload once it has the response, or waits for 100 Continue
+// and never starts its upload. Its connection must be closed within a second.
+func TestConnectionOfAnUnfinishedUploadIsClosed(t *testing.T) {
 	addr := startEntry(t, new(earlyTarget))
 	for _, sent := range []string{
 		"Content-Length: 5000\r\n\r\nsome",
 		"Transfer-Encoding: chunked\r\n\r\n40\r\nenough to be a stream",
 		"Expect: 100-continue\r\nContent-Length: 5000\r\n\r\n",
 	} {
-		c := newCaller(t, addr)
+		c := newClientConn(t, addr)
 		assert.NilError(t, c.send("POST /lots/ends HTTP/1.1\r\nHost: auction.example\r\n"+sent))
 		resp, err := http.ReadResponse(c.r, nil)
 		for err == nil && resp.StatusCode == http.StatusContinue {
@@ -278,25 +276,25 @@
 		assert.NilError(t, err)
 		assert.Check(t, resp.Close)
 		start := time.Now()
-		_, _ = io.Copy(io.Discard, c.r) // the answer's body, and then the connection's end
-		assert.Check(t, time.Since(start) < 2*restTime, "%v", time.Since(start))
+		_, _ = io.Copy(io.Discard, c.r) // reads the response body up to the end of the connection
+		assert.Check(t, time.Since(start) < 2*drainTimeout, "%v", time.Since(start))
 	}
 }
 
-// A caller closes its connection after each request, sends its whole upload and then reads
-// the answer: its connection is reset, and the answer lost.
-// The answer comes early, and net/http closes the connection at once after a request that
-// says Connection: close, though the rest of the upload is on its way.
+// A caller sends Connection: close, then its whole upload, and only then reads the response. The
+// response comes early, and net/http closes the connection immediately after such a request even
+// if the rest of the upload is still arriving: the connection would be reset and the response
+// lost.
 func TestEarlyAnswerReachesCallerThatCloses(t *testing.T) {
 	addr := startEntry(t, new(earlyTarget))
 	for path, want := range map[string]int{"/none": http.StatusNotFound, "/lots/ends": http.StatusOK} {
 		for _, chunked := range []bool{false, true} {
 			for _, size := range []int{5000, 300 << 10, 4 << 20} {
-				c := newCaller(t, addr)
+				c := newClientConn(t, addr)
 				head, body := upload(path, strings.Repeat("x", size), chunked)
 				head = strings.Replace(head, "\r\n", "\r\nConnection: close\r\n", 1)
 				assert.NilError(t, c.send(head+body), "%s %v %d", path, chunked, size)
-				resp, _ := c.answer(http.MethodPost)
+				resp, _ := c.readResponse(http.MethodPost)
 				assert.Equal(t, resp.StatusCode, want)
 			}
 		}
--- a/entry/headers.go
+++ b/entry/headers.go
@@ -10,16 +10,15 @@
 	"github.com/cactusproxy/cactusproxy/outcome"
 )
 
-// hopByHop are the headers that belong to one connection (RFC 9110, 7.6.1).
+// hopByHop lists the hop-by-hop headers (RFC 9110, section 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// forwardable returns a copy of the headers without those that belong to the
-// connection they came on and without any that cactusproxy sets itself: a
-// caller or target that could spoof an outcome could make another program
-// repeat what must not be repeated.
+// forwardable returns a copy of the headers without hop-by-hop headers and without those that
+// cactusproxy sets itself. A caller or target that could spoof an outcome could make another
+// program repeat a call that must not be repeated.
 func forwardable(in http.Header) http.Header {
 	out := make(http.Header, len(in))
 	for name, values := range in {
@@ -38,14 +37,14 @@
 	return out
 }
 
-// Headers that tell a target who called, as other proxies set them.
+// De facto standard headers that tell a target the address and protocol of the caller.
 const (
 	headerForwardedFor   = "X-Forwarded-For"
 	headerForwardedProto = "X-Forwarded-Proto"
 )
 
-// addForwarded appends the caller's address to those of the proxies before it.
-// What stands before the last address was said by the caller and may be false.
+// addForwarded appends the caller's address to X-Forwarded-For. Only the last address is reliable;
+// those before it come from the caller and may be forged.
 func addForwarded(h http.Header, r *http.Request) {
 	ip, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -60,16 +59,16 @@
 	h.Set(headerForwardedProto, proto)
 }
 
-// setTenant takes the caller's API key off the headers, and has them name its tenant whatever
-// the caller said there, in whatever spelling: some targets read X_Name as X-Name.
+// setTenant removes the caller's API key from the headers and sets the tenant header, whatever the
+// caller sent there in whatever spelling: some targets read X_Name as X-Name.
 func (s *Server) setTenant(h http.Header, tenant string) {
 	key, name := s.deps.Contract.Key, s.deps.Contract.Tenant
 	if key == "" || name == "" {
 		return
 	}
-	for have := range h {
-		if spells(have, key) || spells(have, name) {
-			delete(h, have)
+	for header := range h {
+		if sameHeader(header, key) || sameHeader(header, name) {
+			delete(h, header)
 		}
 	}
 	if tenant != "" {
@@ -77,10 +76,11 @@
 	}
 }
 
-// spells reports whether a header's name is another one but for letter case and underscores.
-func spells(have, name string) bool {
-	if len(have) != len(name) {
+// sameHeader reports whether two header names are equal, ignoring letter case and reading
+// underscores as hyphens.
+func sameHeader(header, name string) bool {
+	if len(header) != len(name) {
 		return false
 	}
-	return strings.EqualFold(strings.ReplaceAll(have, "_", "-"), name)
+	return strings.EqualFold(strings.ReplaceAll(header, "_", "-"), name)
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -16,15 +16,14 @@
 	"github.com/cactusproxy/cactusproxy/quarantine"
 )
 
-// HeaderIdempotencyKey carries the caller's key of an at-most-once call.
+// HeaderIdempotencyKey carries the idempotency key of an at-most-once call.
 const HeaderIdempotencyKey = "Idempotency-Key"
 
-// maxDepth ends calls that lead to themselves. Chains of calls are up to 26
-// deep.
+// maxDepth stops call loops. Legitimate chains of calls are up to 26 deep.
 const maxDepth = 32
 
-// newCall reads and checks a request. The zero Result means that the call is
-// good; the release function gives back the memory of its body.
+// newCall parses and validates a request. The returned function releases the memory of the body
+// and is nil if the call is refused; the Result is zero if the call is valid.
 func (s *Server) newCall(r *http.Request, m Match) (*dispatch.Call, func(), outcome.Result) {
 	c := &dispatch.Call{
 		Workspace:       m.Workspace,
@@ -39,18 +38,18 @@
 		Objective:       m.Objective,
 		Priority:        m.Priority,
 		Regions:         m.Regions,
-		StillAuthorized: m.Allowed,
-		Caller:          callerOf(r),
+		StillAuthorized: m.StillAuthorized,
+		Caller:          callerIdentity(r),
 		Arrived:         time.Now(),
-		PriorWait:       s.waited(r, m),
-		ResponseSizes:   m.Sizes,
+		PriorWait:       s.priorWait(r, m),
+		ResponseSizes:   m.ResponseSizes,
 	}
 	s.setTenant(c.Header, m.Tenant)
 	if s.deps.Contract.Forwarded {
 		addForwarded(c.Header, r)
 	}
-	if m.Repeat != 0 {
-		c.Idempotency = m.Repeat
+	if m.Idempotency != 0 {
+		c.Idempotency = m.Idempotency
 	}
 	u := *r.URL
 	if m.Path != r.URL.Path {
@@ -75,13 +74,13 @@
 	return c, release, outcome.Result{}
 }
 
-// attemptsLeft returns the attempts of a call: the service's, or what the call
-// that led to this one has left.
+// attemptsLeft returns the maximum number of attempts of a call: the service's limit or, if lower,
+// what is left of the limit of the call that led to this one.
 func (s *Server) attemptsLeft(r *http.Request, declared int) int {
 	return max(1, min(declared, intHeader(r, s.deps.Contract.Attempts, declared)))
 }
 
-// timeout returns how long a call may take: the service's timeout, or what the
+// timeout returns the timeout of a call: the service's timeout or, if lower, the time that the
 // caller says is left.
 func (s *Server) timeout(r *http.Request, declared time.Duration) time.Duration {
 	ms := intHeader(r, s.deps.Contract.Timeout, -1)
@@ -91,27 +90,27 @@
 	return min(declared, time.Duration(ms)*time.Millisecond)
 }
 
-// waited returns how long the caller has been waiting since it first asked.
-func (s *Server) waited(r *http.Request, m Match) time.Duration {
+// priorWait estimates how long the caller has been waiting since it first sent the request.
+func (s *Server) priorWait(r *http.Request, m Match) time.Duration {
 	ms := intHeader(r, s.deps.Contract.Timeout, -1)
-	if ms < 0 || m.Patience == nil {
+	if ms < 0 || m.WaitEstimator == nil {
 		return 0
 	}
-	return m.Patience.Waited(time.Duration(ms) * time.Millisecond)
+	return m.WaitEstimator.Waited(time.Duration(ms) * time.Millisecond)
 }
 
-func intHeader(r *http.Request, name string, otherwise int) int {
+func intHeader(r *http.Request, name string, fallback int) int {
 	n, err := strconv.Atoi(r.Header.Get(name))
 	if err != nil || n < 0 {
-		return otherwise
+		return fallback
 	}
 	return n
 }
 
-// callerOf identifies the caller for stored answers: by its client certificate
-// or else by a digest of its Authorization header. Callers without either share
-// one identity in their workspace.
-func callerOf(r *http.Request) string {
+// callerIdentity identifies the caller for stored responses: by its client certificate, or else by
+// a digest of its Authorization header. Callers without either share one identity in their
+// workspace.
+func callerIdentity(r *http.Request) string {
 	if r.TLS != nil && len(r.TLS.PeerCertificates) > 0 {
 		return "cert:" + r.TLS.PeerCertificates[0].Subject.String()
 	}
@@ -123,8 +122,8 @@
 	return "auth:" + hex.EncodeToString(sum[:16])
 }
 
-// readBody takes a body into memory if it is small enough to be sent again, and
-// leaves it a stream otherwise.
+// readBody reads a body into memory if it is small enough to be replayed; otherwise the body stays
+// a stream.
 func (s *Server) readBody(r *http.Request, m Match) (*dispatch.Body, func(), outcome.Result) {
 	limit := m.Service.MaxBody
 	if limit > 0 && r.ContentLength > limit {
@@ -137,11 +136,11 @@
 	if limit > 0 {
 		stream = http.MaxBytesReader(nil, r.Body, limit)
 	}
-	keep := int64(m.Service.MaxReplayBody)
+	maxReplay := int64(m.Service.MaxReplayBody)
 	if r.ContentLength < 0 {
-		return s.readUnknown(r, stream, keep, m)
+		return s.readUnsizedBody(r, stream, maxReplay, m)
 	}
-	if r.ContentLength > keep || !s.memory.TryAcquire(r.ContentLength) {
+	if r.ContentLength > maxReplay || !s.memory.TryAcquire(r.ContentLength) {
 		return dispatch.StreamBody(stream, r.ContentLength), func() {}, outcome.Result{}
 	}
 	release := func() { s.memory.Release(r.ContentLength) }
@@ -153,19 +152,19 @@
 	return dispatch.MemoryBody(b), release, outcome.Result{}
 }
 
-// readUnknown takes a body whose length was not told into memory, if it turns out
-// to be small enough. The rest of a longer one stays a stream.
-func (s *Server) readUnknown(r *http.Request, stream io.ReadCloser, keep int64, m Match) (*dispatch.Body, func(), outcome.Result) {
-	if keep == 0 || !s.memory.TryAcquire(keep) {
+// readUnsizedBody reads a body of unknown length into memory if it turns out to be small enough.
+// The rest of a longer one stays a stream.
+func (s *Server) readUnsizedBody(r *http.Request, stream io.ReadCloser, maxReplay int64, m Match) (*dispatch.Body, func(), outcome.Result) {
+	if maxReplay == 0 || !s.memory.TryAcquire(maxReplay) {
 		return dispatch.StreamBody(stream, -1), func() {}, outcome.Result{}
 	}
-	release := func() { s.memory.Release(keep) }
-	b, err := io.ReadAll(io.LimitReader(stream, keep))
+	release := func() { s.memory.Release(maxReplay) }
+	b, err := io.ReadAll(io.LimitReader(stream, maxReplay))
 	if err != nil {
 		release()
 		return nil, nil, s.bodyError(r, m, err)
 	}
-	if int64(len(b)) < keep {
+	if int64(len(b)) < maxReplay {
 		return dispatch.MemoryBody(b), release, outcome.Result{}
 	}
 	whole := struct {
--- a/entry/router.go
+++ b/entry/router.go
@@ -1,5 +1,7 @@
-// Package entry takes callers' requests over HTTP, finds out which service each
-// is for, hands it to the dispatcher and writes what came of it.
+// Package entry is the HTTP front end for callers. It maps each request to a service, checks the
+// caller's API key and quota, passes the call to the dispatcher and writes the reply. It also
+// limits the rate at which request bodies are read and keeps connections usable when a target
+// responds before the whole upload has been read.
 package entry
 
 import (
@@ -15,46 +17,46 @@
 	"github.com/cactusproxy/cactusproxy/policy/waited"
 )
 
-// router finds the workspace and service of a request. It is built once for
-// each configuration and immutable after that, so a change of configuration
-// takes hold between two requests and never within one.
+// router maps a request to a workspace and service. It is built once per configuration and is then
+// immutable, so that a configuration change takes effect between requests and never within one.
 type router struct {
 	byHost map[string]*workspaceRoutes
 	byName map[string]*workspaceRoutes
 }
 
-// workspaceRoutes holds a workspace's services, longest path prefix first.
+// workspaceRoutes lists a workspace's services, longest path prefix first.
 type workspaceRoutes struct {
 	workspace *declare.Workspace
 	services  []*declare.Service
 }
 
-// Match is where a request leads.
+// Match is the result of routing a request.
 type Match struct {
 	Workspace *declare.Workspace
 	Service   *declare.Service
-	// Path is what the service sees: without the workspace's name if that was
-	// how the workspace was found.
+	// Path is the path that the service receives: without the workspace's name if the workspace
+	// was found by it.
 	Path string
-	// Repeat says what may be repeated; 0 leaves it to the method and the
-	// service's declaration.
-	Repeat dispatch.Idempotency
-	// Objective and Priority are those of dispatch.Call.
+	// Idempotency says whether the call may be retried; 0 means that this depends on the method
+	// and the service's declaration.
+	Idempotency dispatch.Idempotency
+	// Objective and Priority are as in dispatch.Call.
 	Objective time.Duration
 	Priority  int
-	// Route is the name of the route, if routes have names.
+	// Route is the name of the route; empty if routes have no names.
 	Route string
-	// Tenant is the name of the tenant whose key the request has; empty if it needs none.
+	// Tenant is the name of the tenant that owns the request's API key; empty if the route
+	// needs none.
 	Tenant string
-	// Allowed is that of dispatch.Call.
-	Allowed func() bool
-	// Regions are the only ones whose targets may get the request; all if empty.
+	// StillAuthorized is as in dispatch.Call.
+	StillAuthorized func() bool
+	// Regions restricts the targets to these regions; empty allows all.
 	Regions []string
-	// Patience, if set, tells how long callers of the route have been waiting.
-	Patience *waited.Patience
-	// Sizes, if set, learns how large answers of the route are.
-	Sizes *sizes.Usual
-	// ConfigVersion is the version of the configuration that was asked.
+	// WaitEstimator, if set, estimates how long callers of the route have been waiting.
+	WaitEstimator *waited.Patience
+	// ResponseSizes, if set, records the sizes of the route's responses.
+	ResponseSizes *sizes.Usual
+	// ConfigVersion is the version of the configuration that was used.
 	ConfigVersion uint64
 }
 
@@ -85,13 +87,13 @@
 	return routes
 }
 
-// find returns where a request leads. A workspace is found by the host name
-// or, if none declares that name, by the first segment of the path.
+// find returns the match for a request. A workspace is found by the host name or, if no workspace
+// declares that name, by the first segment of the path.
 func (r *router) find(host, path string) (Match, bool) {
 	if routes := r.byHost[hostName(host)]; routes != nil {
 		return routes.find(path)
 	}
-	name, rest := splitFirst(path)
+	name, rest := splitFirstSegment(path)
 	if routes := r.byName[name]; routes != nil {
 		return routes.find(rest)
 	}
@@ -107,7 +109,7 @@
 	return Match{}, false
 }
 
-// hostName returns a Host header without its port, in lower case.
+// hostName returns the value of a Host header without its port, in lower case.
 func hostName(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -115,8 +117,8 @@
 	return strings.ToLower(host)
 }
 
-// splitFirst splits /a/b/c into a and /b/c.
-func splitFirst(path string) (first, rest string) {
+// splitFirstSegment splits /a/b/c into a and /b/c.
+func splitFirstSegment(path string) (first, rest string) {
 	path = strings.TrimPrefix(path, "/")
 	first, rest, _ = strings.Cut(path, "/")
 	return first, "/" + rest
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -17,101 +17,101 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// maxReplayBody is the largest body in bytes that is kept in memory for another
-// attempt, on platforms that declare routes.
+// maxReplayBody is the largest body, in bytes, that is kept in memory for retries on platforms
+// that declare routes.
 const maxReplayBody = 1 << 20
 
-// RouteFinder finds where a request leads by the routes on the board.
+// RouteFinder is a Finder that uses the routing table on the board.
 type RouteFinder struct {
 	board     *blackboard.Board
 	workspace *declare.Workspace
 	confirmer Confirmer
 
 	mu sync.Mutex
-	// table is the one that services was made for.
+	// table is the routing table that services was built from.
 	table    *routing.Table
 	services map[routing.Match]*declare.Service
-	// learned is kept by the route's name, beyond a change of the configuration.
-	learned map[string]*learned
+	// stats is keyed by route name and survives configuration changes.
+	stats map[string]*routeStats
 }
 
-// learned is what the requests of one route have shown.
-type learned struct {
+// routeStats holds what has been observed of the requests of one route.
+type routeStats struct {
 	patience waited.Patience
 	sizes    sizes.Usual
 }
 
 var _ Finder = (*RouteFinder)(nil)
 
-// Confirmer finds out whether the routes on the board are the newest.
+// Confirmer checks whether the routing table on the board is the newest.
 type Confirmer interface {
-	// Confirm puts what it learns on the board. It returns soon, also if nobody can tell, and
-	// when ctx ends.
+	// Confirm puts what it learns on the board. It returns quickly, even if no other host can
+	// tell, and when ctx ends.
 	Confirm(ctx context.Context)
 }
 
-// NewRouteFinder returns a finder over the routes on a board.
+// NewRouteFinder returns a RouteFinder for the routing table on a board.
 func NewRouteFinder(b *blackboard.Board, c Confirmer) *RouteFinder {
 	return &RouteFinder{board: b, confirmer: c, workspace: &declare.Workspace{Name: routing.Workspace}}
 }
 
 // Find implements Finder.
-func (f *RouteFinder) Find(ctx context.Context, a Address) (Match, outcome.Result) {
+func (f *RouteFinder) Find(ctx context.Context, q RouteQuery) (Match, outcome.Result) {
 	table := f.board.Routes.Load()
 	if table == nil {
 		return Match{}, outcome.Refuse(outcome.ReasonNotReady)
 	}
-	m, reason := look(table, a)
+	m, reason := lookup(table, q)
 	if reason != "" && f.confirm(ctx, table.Config.Version) {
-		table = f.board.Routes.Load() // a newer one may have come meanwhile
-		m, reason = look(table, a)
+		table = f.board.Routes.Load() // a newer one may have arrived in the meantime
+		m, reason = lookup(table, q)
 	}
 	if reason != "" {
 		version := table.Config.Version
-		return Match{ConfigVersion: version}, f.judge(version, reason)
+		return Match{ConfigVersion: version}, f.denialResult(version, reason)
 	}
-	return f.match(table, a, m)
+	return f.match(table, q, m)
 }
 
-// found is where a request leads by one table, and whose it is.
-type found struct {
+// lookupResult is the match for a request in one routing table, and its tenant.
+type lookupResult struct {
 	routing.Match
-	// tenant is nil if the request needs no key.
+	// tenant is nil if the request needs no API key.
 	tenant *routing.Tenant
 }
 
-// look finds where a request leads, or why a table does not allow it.
-func look(table *routing.Table, a Address) (found, outcome.Reason) {
-	m, ok := table.Find(a.Host, a.Path)
+// lookup returns the match for a request, or the reason why the table doesn't allow it.
+func lookup(table *routing.Table, q RouteQuery) (lookupResult, outcome.Reason) {
+	m, ok := table.Find(q.Host, q.Path)
 	if !ok {
-		return found{}, outcome.ReasonNoRoute
+		return lookupResult{}, outcome.ReasonNoRoute
 	}
 	if m.Route.Public || !table.Config.Keyed {
-		return found{Match: m}, ""
+		return lookupResult{Match: m}, ""
 	}
-	tenant := table.Holder(a.Key)
+	tenant := table.Holder(q.Key)
 	if tenant == nil {
-		return found{}, outcome.ReasonUnknownKey
+		return lookupResult{}, outcome.ReasonUnknownKey
 	}
-	return found{Match: m, tenant: tenant}, ""
+	return lookupResult{Match: m, tenant: tenant}, ""
 }
 
-func (f *RouteFinder) match(table *routing.Table, a Address, m found) (Match, outcome.Result) {
-	repeat := dispatch.NonIdempotent
+func (f *RouteFinder) match(table *routing.Table, q RouteQuery, m lookupResult) (Match, outcome.Result) {
+	idempotency := dispatch.NonIdempotent
 	if m.Route.Kind.Repeatable() {
-		repeat = dispatch.Idempotent
+		idempotency = dispatch.Idempotent
 	}
-	service, learned := f.service(table, m.Match)
+	service, stats := f.service(table, m.Match)
 	out := Match{
-		Workspace: f.workspace,
-		Service:   service,
-		Patience:  &learned.patience,
-		Sizes:     &learned.sizes,
-		Repeat:    repeat,
-		Route:     m.Route.Name,
-		Objective: m.Route.Objective,
-		Priority:  m.Route.Priority,
-		Regions:   m.Route.Regions,
+		Workspace:     f.workspace,
+		Service:       service,
+		WaitEstimator: &stats.patience,
+		ResponseSizes: &stats.sizes,
+		Idempotency:   idempotency,
+		Route:         m.Route.Name,
+		Objective:     m.Route.Objective,
+		Priority:      m.Route.Priority,
+		Regions:       m.Route.Regions,
 
 		ConfigVersion: table.Config.Version,
 	}
@@ -119,23 +119,23 @@
 		return out, outcome.Result{}
 	}
 	out.Tenant = m.tenant.Name
-	out.Allowed = f.allowed(table, a.Key, m.tenant.Name)
+	out.StillAuthorized = f.authorizer(table, q.Key, m.tenant.Name)
 	if m.tenant.Priority != routing.RoutePriority {
 		out.Priority = m.tenant.Priority
 	}
-	regions, some := both(m.Route.Regions, m.tenant.Regions)
-	if !some {
+	regions, ok := intersectRegions(m.Route.Regions, m.tenant.Regions)
+	if !ok {
 		return Match{ConfigVersion: table.Config.Version}, outcome.Refuse(outcome.ReasonNoTarget)
 	}
 	out.Regions = regions
 	return out, outcome.Result{}
 }
 
-// allowed returns what reports whether a tenant still holds a key.
-func (f *RouteFinder) allowed(then *routing.Table, key, tenant string) func() bool {
+// authorizer returns a function that reports whether a tenant still owns an API key.
+func (f *RouteFinder) authorizer(checked *routing.Table, key, tenant string) func() bool {
 	return func() bool {
 		table := f.board.Routes.Load()
-		if table == then {
+		if table == checked {
 			return true
 		}
 		holder := table.Holder(key)
@@ -143,9 +143,9 @@
 	}
 }
 
-// both returns the regions that are in two lists, of which an empty one means all; false means
-// that there is none.
-func both(a, b []string) (list []string, some bool) {
+// intersectRegions returns the regions that are in both lists, where an empty list stands for all
+// regions. It returns false if there are none.
+func intersectRegions(a, b []string) (list []string, ok bool) {
 	if len(a) == 0 || len(b) == 0 {
 		return slices.Concat(a, b), true
 	}
@@ -160,11 +160,11 @@
 // Deny implements Finder.
 func (f *RouteFinder) Deny(ctx context.Context, version uint64, reason outcome.Reason) outcome.Result {
 	f.confirm(ctx, version)
-	return f.judge(version, reason)
+	return f.denialResult(version, reason)
 }
 
-// confirm finds out whether a version is the newest, if that is not known, and reports whether
-// it had to. A version that is older than one that was heard of needs no asking.
+// confirm checks whether a version is the newest and reports whether it did. The check is skipped
+// if the answer is known, which includes that a newer version has been heard of.
 func (f *RouteFinder) confirm(ctx context.Context, version uint64) bool {
 	k := f.knowledge(version)
 	if k.Allowed() || k.Behind() {
@@ -174,10 +174,9 @@
 	return true
 }
 
-// judge returns what a caller is told whose request a version does not allow. One that the
-// newest configuration does not allow is wrong; one that any other does not allow is to come
-// again.
-func (f *RouteFinder) judge(version uint64, reason outcome.Reason) outcome.Result {
+// denialResult returns the result for a request that a version doesn't allow. If that is the
+// newest version, the request is invalid; otherwise the caller is told to retry.
+func (f *RouteFinder) denialResult(version uint64, reason outcome.Reason) outcome.Result {
 	k := f.knowledge(version)
 	r := outcome.Refuse(reason)
 	if !k.Allowed() {
@@ -187,7 +186,7 @@
 	return r
 }
 
-// knowledge returns how much is known of whether a version is the newest.
+// knowledge returns what is known about whether a version is the newest.
 func (f *RouteFinder) knowledge(version uint64) denial.Knowledge {
 	c := f.board.Confirmation.Load()
 	k := denial.Knowledge{Version: version, Newest: max(version, c.Newest), Age: denial.Never}
@@ -197,13 +196,13 @@
 	return k
 }
 
-// service returns the declaration of a service as one route uses it, which is made
-// once for each configuration, and what the route's requests have shown.
-func (f *RouteFinder) service(table *routing.Table, m routing.Match) (*declare.Service, *learned) {
+// service returns the declaration of a service as one route uses it, which is built once per
+// configuration, and the stats of the route.
+func (f *RouteFinder) service(table *routing.Table, m routing.Match) (*declare.Service, *routeStats) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.table != table {
-		f.renew(table)
+		f.reset(table)
 	}
 	s := f.services[m]
 	if s == nil {
@@ -218,20 +217,20 @@
 		}
 		f.services[m] = s
 	}
-	return s, f.learned[m.Route.Name]
+	return s, f.stats[m.Route.Name]
 }
 
-// renew begins anew for a configuration. The lock is held.
-func (f *RouteFinder) renew(table *routing.Table) {
+// reset rebuilds the caches for a new configuration. The caller holds the lock.
+func (f *RouteFinder) reset(table *routing.Table) {
 	f.table = table
 	f.services = make(map[routing.Match]*declare.Service)
-	next := make(map[string]*learned, len(table.Config.Routes))
+	next := make(map[string]*routeStats, len(table.Config.Routes))
 	for _, r := range table.Config.Routes {
-		l := f.learned[r.Name]
+		l := f.stats[r.Name]
 		if l == nil {
-			l = new(learned)
+			l = new(routeStats)
 		}
 		next[r.Name] = l
 	}
-	f.learned = next
+	f.stats = next
 }
--- a/entry/server.go
+++ b/entry/server.go
@@ -19,135 +19,135 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// Dispatcher carries out calls; dispatch.Dispatcher is one.
+// Dispatcher executes calls. It is implemented by dispatch.Dispatcher.
 type Dispatcher interface {
 	Admit(c *dispatch.Call) (release func(), refusal outcome.Result)
 	Do(ctx context.Context, c *dispatch.Call) *dispatch.Reply
 }
 
-// Paths that belong to cactusproxy itself on the callers' listener.
+// Paths on the callers' listener that cactusproxy serves itself.
 const (
-	// PathReady answers 200 while the host takes new calls and 503 otherwise;
-	// it is meant for the platform's balancer.
+	// PathReady responds with 200 while the host accepts new calls and with 503 otherwise. It is
+	// the health check of the platform's load balancer.
 	PathReady = "/.cactusproxy/ready"
 	// PathKeys issues an idempotency key: POST /.cactusproxy/keys/<workspace>/<service>.
 	PathKeys = "/.cactusproxy/keys/{workspace}/{service}"
 )
 
-// Deps is what a Server works with.
+// Deps holds the dependencies and settings of a Server.
 type Deps struct {
 	Board      *blackboard.Board
 	Dispatcher Dispatcher
 	Metrics    *metrics.Set
-	// ConfigFresh reports, exactly at the moment of the call, whether the
-	// configuration was confirmed of late. The board's word follows a pause of
-	// the process by a fraction of a second, in which a host could serve a
-	// configuration that was replaced meanwhile.
+	// ConfigFresh reports whether the configuration was confirmed recently, evaluated at the
+	// time of the call. After a pause of the process, the status on the board is outdated for a
+	// fraction of a second, in which a host could serve a configuration that has been replaced.
 	ConfigFresh func() bool
-	// BodyMemory bounds the bodies kept in memory for further attempts, in
-	// bytes over all calls of this host.
+	// BodyMemory bounds the total size, in bytes, of the request bodies that this host keeps in
+	// memory for retries.
 	BodyMemory int64
-	// LinkBytesPerSecond is what this host's link carries each way, in bytes a second; 0 if not
-	// known.
+	// LinkBytesPerSecond is the capacity of this host's link in each direction; 0 if unknown.
 	LinkBytesPerSecond float64
-	// WatchesStore reports whether this host watches the store for all others.
+	// WatchesStore reports whether this host watches the store on behalf of all others.
 	WatchesStore func() bool
-	// IssueKey makes an idempotency key bound to this host, or returns "" if the
-	// settings name no cluster key.
+	// IssueKey creates an idempotency key bound to this host. It returns "" if the settings name
+	// no cluster key.
 	IssueKey func(workspace, service, caller string) string
-	// Contract names the headers; nil stands for targetapi.Default.
+	// Contract names the headers exchanged with callers and targets; nil means
+	// targetapi.Default.
 	Contract *targetapi.Contract
-	// Finder finds where a request leads; nil stands for the services that the
-	// workspaces on the board declare.
+	// Finder routes requests; nil means routing by the services that the workspaces on the board
+	// declare.
 	Finder Finder
-	// Quota may be nil.
+	// Quota may be nil, in which case tenants have no quotas.
 	Quota Quota
-	// AwaitStart waits until a host that has just started knows enough to serve,
-	// or ctx ends, and reports which; nil refuses such calls at once.
+	// AwaitStart waits until a host that has just started is ready to serve or ctx ends, and
+	// reports whether it is ready. If it is nil, calls to a starting host are refused
+	// immediately.
 	AwaitStart func(ctx context.Context) bool
-	// CallLog learns of each call that has ended; nil asks for nothing.
+	// CallLog receives every finished call; it may be nil.
 	CallLog CallLog
 }
 
-// CallLog learns of calls that have ended.
+// CallLog receives finished calls.
 type CallLog interface {
 	Ended(c calllog.Call)
 }
 
-// Address is what of a request says where it leads.
-type Address struct {
+// RouteQuery is the part of a request that determines its route.
+type RouteQuery struct {
 	Host, Path string
-	// Key is the caller's API key; empty if there is none, or more than one.
+	// Key is the caller's API key; empty if the request has none or more than one.
 	Key string
 }
 
-// Quota keeps tenants within their quotas.
+// Quota enforces the quotas of tenants.
 type Quota interface {
-	// Refused returns what a request of a tenant is told if it is known already that there
-	// is no room, else the zero Result.
+	// Refused returns the refusal of a tenant's request if the tenant is already known to be
+	// over quota, and otherwise the zero Result.
 	Refused(tenant string) outcome.Result
-	// Take counts a request of a tenant. The zero Result means that it may run.
+	// Take counts a request of a tenant. The zero Result means that the request may run.
 	Take(ctx context.Context, r quota.Request) outcome.Result
-	// Return gives back what a request took that no target ran.
+	// Return gives back what was taken for a request that did not run.
 	Return(tenant string)
 }
 
-// Finder finds where a request leads.
+// Finder routes requests.
 type Finder interface {
-	// Find returns the zero Result if it does. Else that is what the caller is told, and of
-	// the match the version of the configuration holds alone.
-	Find(ctx context.Context, a Address) (Match, outcome.Result)
-	// Deny returns what a caller is told whose request a version of the configuration does
-	// not allow, for the reason given.
+	// Find returns the match for a request and the zero Result. If the request is refused, the
+	// Result is the refusal and only the ConfigVersion of the match is valid.
+	Find(ctx context.Context, q RouteQuery) (Match, outcome.Result)
+	// Deny returns the result for a request that a version of the configuration doesn't allow,
+	// for the given reason.
 	Deny(ctx context.Context, version uint64, reason outcome.Reason) outcome.Result
 }
 
-// Server is the handler of the callers' listener.
+// Server is the HTTP handler for callers.
 type Server struct {
-	deps   Deps
-	memory *semaphore.Weighted
-	bodies *bodyPace
-	routes atomic.Pointer[routesOf]
-	mux    *chi.Mux
+	deps     Deps
+	memory   *semaphore.Weighted
+	bodyRate *bodyRateLimiter
+	cached   atomic.Pointer[cachedRouter]
+	mux      *chi.Mux
 
 	inFlight atomic.Int64
 }
 
-// routesOf is the router made from one configuration.
-type routesOf struct {
+// cachedRouter is a router and the configuration that it was built from.
+type cachedRouter struct {
 	config *declare.Config
 	router *router
 }
 
-// New returns a handler.
+// New returns a Server. A nil Contract is replaced by targetapi.Default.
 func New(deps Deps) *Server {
 	if deps.Contract == nil {
 		deps.Contract = targetapi.Default()
 	}
 	s := &Server{
-		deps:   deps,
-		memory: semaphore.NewWeighted(deps.BodyMemory),
-		bodies: newBodyPace(deps.LinkBytesPerSecond, deps.WatchesStore),
+		deps:     deps,
+		memory:   semaphore.NewWeighted(deps.BodyMemory),
+		bodyRate: newBodyRateLimiter(deps.LinkBytesPerSecond, deps.WatchesStore),
 	}
 	s.mux = chi.NewRouter()
 	s.mux.Get(PathReady, s.ready)
 	s.mux.Post(PathKeys, s.issueKey)
-	s.mux.NotFound(s.call)
-	s.mux.MethodNotAllowed(s.call)
+	s.mux.NotFound(s.handleCall)
+	s.mux.MethodNotAllowed(s.handleCall)
 	return s
 }
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// ProxyHandler serves callers alone: every path leads to a target, none belongs to
-// cactusproxy.
-func (s *Server) ProxyHandler() http.Handler { return http.HandlerFunc(s.call) }
+// ProxyHandler returns a handler that routes every path to a target and serves none of
+// cactusproxy's own paths.
+func (s *Server) ProxyHandler() http.Handler { return http.HandlerFunc(s.handleCall) }
 
-// find returns where a request leads, or what its caller is told.
+// find returns the match for a request, or the refusal.
 func (s *Server) find(r *http.Request) (Match, outcome.Result) {
 	if s.deps.Finder != nil {
-		m, refusal := s.deps.Finder.Find(r.Context(), s.address(r))
+		m, refusal := s.deps.Finder.Find(r.Context(), s.routeQuery(r))
 		m.Path = r.URL.Path
 		return m, refusal
 	}
@@ -158,19 +158,18 @@
 	return m, outcome.Result{}
 }
 
-// address returns what of a request says where it leads.
-func (s *Server) address(r *http.Request) Address {
-	a := Address{Host: r.Host, Path: r.URL.EscapedPath()}
+// routeQuery returns the part of a request that determines its route.
+func (s *Server) routeQuery(r *http.Request) RouteQuery {
+	q := RouteQuery{Host: r.Host, Path: r.URL.EscapedPath()}
 	if name := s.deps.Contract.Key; name != "" {
 		if keys := r.Header[name]; len(keys) == 1 {
-			a.Key = keys[0]
+			q.Key = keys[0]
 		}
 	}
-	return a
+	return q
 }
 
-// deny returns what a caller is told whose request the configuration that a match is from
-// does not allow.
+// deny returns the refusal of a request that the configuration of its match doesn't allow.
 func (s *Server) deny(r *http.Request, m Match, reason outcome.Reason) outcome.Result {
 	if s.deps.Finder == nil {
 		return outcome.Refuse(reason)
@@ -178,19 +177,19 @@
 	return s.deps.Finder.Deny(r.Context(), m.ConfigVersion, reason)
 }
 
-// InFlight returns the number of calls that have not had their whole reply.
+// InFlight returns the number of calls whose response hasn't been written completely.
 func (s *Server) InFlight() int64 { return s.inFlight.Load() }
 
-// router returns the router of the configuration in force. It is rebuilt by the
-// first request after a change.
+// router returns the router for the current configuration. The first request after a change
+// rebuilds it.
 func (s *Server) router() *router {
 	c := s.deps.Board.Config.Load()
-	if have := s.routes.Load(); have != nil && have.config == c {
-		return have.router
+	if cached := s.cached.Load(); cached != nil && cached.config == c {
+		return cached.router
 	}
-	made := &routesOf{config: c, router: newRouter(c)}
-	s.routes.Store(made)
-	return made.router
+	built := &cachedRouter{config: c, router: newRouter(c)}
+	s.cached.Store(built)
+	return built.router
 }
 
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
@@ -208,11 +207,11 @@
 		return
 	}
 	workspace, service := chi.URLParam(r, "workspace"), chi.URLParam(r, "service")
-	if !s.known(workspace, service) {
+	if !s.serviceExists(workspace, service) {
 		s.refuse(w, new(calllog.Call), outcome.Refuse(outcome.ReasonNoRoute))
 		return
 	}
-	key := s.deps.IssueKey(workspace, service, callerOf(r))
+	key := s.deps.IssueKey(workspace, service, callerIdentity(r))
 	if key == "" {
 		s.refuse(w, new(calllog.Call), outcome.Refuse(outcome.ReasonNoKeys))
 		return
@@ -222,7 +221,7 @@
 	_, _ = io.WriteString(w, key+"\n")
 }
 
-func (s *Server) known(workspace, service string) bool {
+func (s *Server) serviceExists(workspace, service string) bool {
 	ws, ok := s.deps.Board.Config.Load().Workspace(workspace)
 	if !ok {
 		return false
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -24,7 +24,7 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// recorder is a Dispatcher that keeps the last call and gives a fixed reply.
+// recorder is a Dispatcher that keeps the last call and returns a fixed reply.
 type recorder struct {
 	call  *dispatch.Call
 	body  string
@@ -105,8 +105,8 @@
 	assert.Equal(t, d.call.IdempotencyKey, "k")
 }
 
-// The caller sees the outcome that cactusproxy set: a target that sends the
-// same header, or a caller that sends it on, is not believed.
+// A target that sends the outcome header, or a caller that does, must not be able to spoof the
+// outcome that cactusproxy sets.
 func TestSpoofedHeadersAreRemovedBothWays(t *testing.T) {
 	s, d, _ := newServer(t)
 	d.reply = dispatch.Reply{
@@ -153,8 +153,8 @@
 	assert.Equal(t, w.Code, http.StatusRequestEntityTooLarge)
 }
 
-// A caller sends half a body and then nothing. It must be told at its deadline, not
-// when the connection ends, and nothing may be sent to a target.
+// A caller sends half a body and then nothing. It must get a response at its deadline, not when
+// the connection ends, and nothing may be sent to a target.
 func TestBodyThatNeverEndsIsRefusedAtTheDeadline(t *testing.T) {
 	s, d, _ := newServer(t)
 	server := httptest.NewServer(s)
@@ -191,8 +191,8 @@
 	assert.Equal(t, do(s, r).Header().Get(outcome.HeaderReason), string(outcome.ReasonTooDeep))
 }
 
-// The caller's connection breaks: the target's answer did, and a reply that
-// ended there would look whole.
+// The target's response is truncated. The caller's connection must break, because a response that
+// ends normally would look complete.
 func TestBrokenAnswerBreaksTheCallersConnection(t *testing.T) {
 	s, d, _ := newServer(t)
 	half := io.NopCloser(io.MultiReader(strings.NewReader("hal"), brokenReader{}))
@@ -215,8 +215,8 @@
 	assert.Equal(t, do(s, httptest.NewRequest(http.MethodGet, PathReady, nil)).Code, http.StatusServiceUnavailable)
 }
 
-// The caller is refused at once with not-run: the host woke from a pause and
-// does not know yet whether its configuration is the newest.
+// After a pause of the process, the host doesn't know whether its configuration is still the
+// newest. Callers must be refused immediately with not-run.
 func TestHostWithoutConfirmedConfigurationRefuses(t *testing.T) {
 	s, d, board := newServer(t)
 	board.Status.Store(blackboard.Status{})
@@ -226,9 +226,9 @@
 	assert.Check(t, d.call == nil)
 }
 
-// The caller is told unknown and sends the same key again: its first send may
-// have run through another host, which this one has not asked. A call without a
-// key, or one that may be repeated, is told not-run of this send alone.
+// A request with a key is refused before its claim is looked up. Its first attempt may have run
+// through another host, so the caller must get the outcome unknown and retry with the same key. A
+// call without a key, or an idempotent one, gets not-run.
 func TestRefusalOfAKeyBeforeItsClaimIsUnknown(t *testing.T) {
 	s, _, board := newServer(t)
 	for _, tc := range []struct {
@@ -266,17 +266,17 @@
 
 func (brokenReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
-// Callers have 1.5 s each. One that comes again after a refusal says 1.1 s: the choice of
-// a target reckons with the 0.4 s that it has waited, the call itself with the moment at
-// which it arrived.
-func TestCallerThatComesAgainHasWaited(t *testing.T) {
+// Callers have a timeout of 1.5 s. A caller that retries after a refusal sends 1.1 s: the picker
+// must take the 0.4 s of prior wait into account, while the arrival time of the call stays the
+// time of this request.
+func TestPriorWaitOfARetryingCaller(t *testing.T) {
 	s, d, board := newServer(t)
 	board.Routes.Store(routing.NewTable(&routing.Config{
 		Version:  1,
 		Routes:   []routing.Route{{Name: "r", Host: "a.example", Prefix: "/", Kind: routing.Safe, Timeout: time.Second, Objective: time.Second, Parts: []routing.Part{{Service: "s", Weight: 1}}}},
 		Services: []routing.Service{{Name: "s"}},
 	}, rand.New(rand.NewPCG(1, 1))))
-	s.deps.Finder = NewRouteFinder(board, nobody{})
+	s.deps.Finder = NewRouteFinder(board, nopConfirmer{})
 	send := func(ms string) *dispatch.Call {
 		r := httptest.NewRequest(http.MethodGet, "http://a.example/x", nil)
 		r.Header.Set(s.deps.Contract.Timeout, ms)
--- a/entry/tenant_test.go
+++ b/entry/tenant_test.go
@@ -27,7 +27,7 @@
 	headerTenant = "X-Tenant"
 )
 
-// tenantsConfig has a public route, and tenants for the others.
+// tenantsConfig has one public route, and one for tenants.
 func tenantsConfig(version uint64, tenants ...routing.Tenant) *routing.Config {
 	parts := []routing.Part{{Service: "lots", Weight: 1}}
 	return &routing.Config{
@@ -51,12 +51,12 @@
 	return t
 }
 
-// keyedServer is a server of tenants' requests.
+// keyedServer is a server whose routes require API keys.
 type keyedServer struct {
 	*Server
 	sent  *recorder
 	board *blackboard.Board
-	log   *calls
+	log   *lastCallLog
 }
 
 func newKeyedServer(t testing.TB, c *routing.Config) *keyedServer {
@@ -65,27 +65,27 @@
 	t.Cleanup(func() { _ = board.Close() })
 	board.Status.Store(blackboard.Status{ConfigConfirmed: true})
 	d := &recorder{reply: dispatch.Reply{Result: outcome.Refuse(outcome.ReasonNoTarget)}}
-	log := new(calls)
+	log := new(lastCallLog)
 	s := New(Deps{
 		Board: board, Dispatcher: d, Metrics: metrics.New(), BodyMemory: 1 << 20,
 		ConfigFresh: func() bool { return true },
-		Finder:      NewRouteFinder(board, nobody{}),
+		Finder:      NewRouteFinder(board, nopConfirmer{}),
 		CallLog:     log,
 		Contract:    &targetapi.Contract{Key: headerKey, Tenant: headerTenant},
 	})
 	k := &keyedServer{Server: s, sent: d, board: board, log: log}
-	k.put(c)
+	k.apply(c)
 	return k
 }
 
-// put has a configuration in force that is the newest.
-func (k *keyedServer) put(c *routing.Config) {
+// apply puts a configuration into force and marks it as the newest.
+func (k *keyedServer) apply(c *routing.Config) {
 	k.board.Routes.Store(routing.NewTable(c, rand.New(rand.NewPCG(1, 1))))
 	k.board.Confirmation.Store(blackboard.Confirmation{Newest: c.Version, At: time.Now()})
 }
 
-// ask sends a request with headers, given as names and values in turn.
-func (k *keyedServer) ask(path string, headers ...string) *httptest.ResponseRecorder {
+// get sends a request with headers, given as alternating names and values.
+func (k *keyedServer) get(path string, headers ...string) *httptest.ResponseRecorder {
 	k.sent.call = nil
 	r := httptest.NewRequest(http.MethodGet, "http://auction.example"+path, nil)
 	for i := 0; i < len(headers); i += 2 {
@@ -96,19 +96,19 @@
 	return w
 }
 
-// A target is told the tenant that holds the caller's key, never the key, whatever the caller
-// says of its tenant.
+// A target must receive the tenant that owns the caller's API key, and never the key, whatever the
+// caller sends as its tenant.
 func TestTargetsAreToldTheTenantAndNoKey(t *testing.T) {
 	k := newKeyedServer(t, tenantsConfig(1, tenant("school", "key-1", "key-2"), tenant("other", "key-3")))
-	for _, said := range [][]string{
+	for _, headers := range [][]string{
 		{headerKey, "key-2"},
 		{headerKey, "key-2", headerTenant, "other"},
 		{headerKey, "key-2", headerTenant, "other", headerTenant, "school"},
 		{headerKey, "key-2", "X_tenant", "other", "X_Tenant", "other"},
 		{headerKey, "key-2", "X_api_key", "key-2", "Connection", "X-Tenant, X-Api-Key"},
 	} {
-		k.ask("/lots/7", said...)
-		assert.Assert(t, k.sent.call != nil, "%v", said)
+		k.get("/lots/7", headers...)
+		assert.Assert(t, k.sent.call != nil, "%v", headers)
 		h := k.sent.call.Header
 		assert.DeepEqual(t, h[headerTenant], []string{"school"})
 		assert.Equal(t, len(h), 1, "%v", h)
@@ -118,7 +118,7 @@
 
 func TestRequestsWithoutAGoodKeyAreRefused(t *testing.T) {
 	k := newKeyedServer(t, tenantsConfig(1, tenant("school", "key-1"), tenant("keyless")))
-	for _, said := range [][]string{
+	for _, headers := range [][]string{
 		{},
 		{headerKey, ""},
 		{headerKey, "key-"},
@@ -127,8 +127,8 @@
 		{headerTenant, "school"},
 		{"X_Api_Key", "key-1"},
 	} {
-		w := k.ask("/lots/7", said...)
-		assert.Equal(t, w.Code, http.StatusUnauthorized, "%.40v", said)
+		w := k.get("/lots/7", headers...)
+		assert.Equal(t, w.Code, http.StatusUnauthorized, "%.40v", headers)
 		assert.Equal(t, w.Header().Get(outcome.HeaderOutcome), outcome.NotRun.String())
 		assert.Check(t, k.sent.call == nil)
 		assert.Equal(t, k.log.last.Result.Reason, outcome.ReasonUnknownKey)
@@ -137,41 +137,41 @@
 
 func TestPublicRoutesNeedNoKeyAndNameNoTenant(t *testing.T) {
 	k := newKeyedServer(t, tenantsConfig(1, tenant("school", "key-1")))
-	for _, said := range [][]string{{}, {headerKey, "key-1"}, {headerKey, "key-9", headerTenant, "school"}} {
-		k.ask("/home/", said...)
+	for _, headers := range [][]string{{}, {headerKey, "key-1"}, {headerKey, "key-9", headerTenant, "school"}} {
+		k.get("/home/", headers...)
 		assert.Assert(t, k.sent.call != nil)
 		assert.Equal(t, len(k.sent.call.Header), 0)
 	}
 }
 
-// A configuration whose last tenant went does not open its routes to everyone.
+// A configuration without any tenants must not open its routes to everyone.
 func TestConfigurationWithoutTenantsOpensNothing(t *testing.T) {
 	k := newKeyedServer(t, tenantsConfig(1))
-	assert.Equal(t, k.ask("/lots/7", headerKey, "key-1").Code, http.StatusUnauthorized)
+	assert.Equal(t, k.get("/lots/7", headerKey, "key-1").Code, http.StatusUnauthorized)
 }
 
-// A host that heard of a newer configuration can not say that a key is unknown.
-func TestHostThatIsBehindCallsNoKeyUnknown(t *testing.T) {
+// A host that has heard of a newer configuration can't say that a key is unknown.
+func TestOutdatedHostDoesNotReportUnknownKey(t *testing.T) {
 	k := newKeyedServer(t, tenantsConfig(1, tenant("school", "key-1")))
 	k.board.Confirmation.Store(blackboard.Confirmation{Newest: 2, At: time.Now()})
-	w := k.ask("/lots/7", headerKey, "key-2")
+	w := k.get("/lots/7", headerKey, "key-2")
 	assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, k.log.last.Result.Reason, outcome.ReasonConfigUnconfirmed)
 }
 
-// Keys that come and go are in force for the next request of an open connection, and for those
-// that wait here.
+// Added and revoked keys must take effect for the next request of an open connection, and for
+// requests that are queued.
 func TestKeysAreCheckedAgainstTheConfigurationInForce(t *testing.T) {
 	k := newKeyedServer(t, tenantsConfig(1, tenant("school", "key-1")))
-	k.ask("/lots/7", headerKey, "key-1")
+	k.get("/lots/7", headerKey, "key-1")
 	waiting := k.sent.call
 	assert.Check(t, waiting.StillAuthorized())
-	k.put(tenantsConfig(2, tenant("school", "key-1", "key-2")))
+	k.apply(tenantsConfig(2, tenant("school", "key-1", "key-2")))
 	assert.Check(t, waiting.StillAuthorized())
-	k.put(tenantsConfig(3, tenant("school", "key-2"), tenant("other", "key-1")))
-	assert.Check(t, !waiting.StillAuthorized(), "the key is another tenant's by now")
-	assert.Equal(t, k.ask("/lots/7", headerKey, "key-9").Code, http.StatusUnauthorized)
-	k.ask("/lots/7", headerKey, "key-2")
+	k.apply(tenantsConfig(3, tenant("school", "key-2"), tenant("other", "key-1")))
+	assert.Check(t, !waiting.StillAuthorized(), "the key belongs to another tenant now")
+	assert.Equal(t, k.get("/lots/7", headerKey, "key-9").Code, http.StatusUnauthorized)
+	k.get("/lots/7", headerKey, "key-2")
 	assert.DeepEqual(t, k.sent.call.Header[headerTenant], []string{"school"})
 }
 
@@ -179,13 +179,13 @@
 	urgent := tenant("urgent", "key-1")
 	urgent.Priority = 0
 	k := newKeyedServer(t, tenantsConfig(1, urgent, tenant("plain", "key-2")))
-	k.ask("/lots/7", headerKey, "key-1")
+	k.get("/lots/7", headerKey, "key-1")
 	assert.Equal(t, k.sent.call.Priority, 0)
-	k.ask("/lots/7", headerKey, "key-2")
+	k.get("/lots/7", headerKey, "key-2")
 	assert.Equal(t, k.sent.call.Priority, 2)
 }
 
-// Where route and tenant both name regions, only those of both may get the request.
+// If route and tenant both restrict regions, only regions in both lists may get the request.
 func TestRegionsOfRouteAndTenantBothBind(t *testing.T) {
 	bound := tenant("bound", "key-1")
 	bound.Regions = []string{"north", "south"}
@@ -197,8 +197,8 @@
 		{[]string{"west"}, nil},
 	} {
 		c.Routes[0].Regions = tc.route
-		k.put(c)
-		w := k.ask("/lots/7", headerKey, "key-1")
+		k.apply(c)
+		w := k.get("/lots/7", headerKey, "key-1")
 		if tc.want == nil {
 			assert.Check(t, k.sent.call == nil)
 			assert.Equal(t, w.Code, http.StatusServiceUnavailable)
@@ -208,7 +208,8 @@
 	}
 }
 
-// FuzzTenant looks for headers that bring a key, or another tenant than the key's, to a target.
+// FuzzTenant searches for headers that pass an API key, or a tenant other than the key's owner,
+// to a target.
 func FuzzTenant(f *testing.F) {
 	f.Add("X-Tenant: other\r\nX_TENANT: other\r\nConnection: x-tenant\r\n")
 	f.Add("X-Api-Key: secret-1\r\nx_api-key: secret-1\r\nTrailer: X-Tenant\r\n")
@@ -234,7 +235,7 @@
 	})
 }
 
-// fakeQuota grants so many requests.
+// fakeQuota allows a fixed number of requests.
 type fakeQuota struct {
 	left, returned int
 	full           bool
@@ -268,30 +269,31 @@
 	q := &fakeQuota{left: 1}
 	k.deps.Quota = q
 	k.sent.reply.Result = outcome.Result{Outcome: outcome.Answered, Reason: outcome.ReasonOK}
-	k.ask("/lots/7", headerKey, "key-1")
+	k.get("/lots/7", headerKey, "key-1")
 	assert.Check(t, k.sent.call != nil)
-	w := k.ask("/lots/7", headerKey, "key-1")
+	w := k.get("/lots/7", headerKey, "key-1")
 	assert.Equal(t, w.Code, http.StatusTooManyRequests)
 	assert.Check(t, w.Header().Get("Retry-After") != "")
 	assert.Check(t, k.sent.call == nil)
 	assert.Equal(t, q.returned, 0)
-	k.ask("/home/")
+	k.get("/home/")
 	assert.Check(t, k.sent.call != nil, "a public route has no tenant and no quota")
 }
 
-// A request that no target ran must not count against its tenant.
+// A request that no target ran must not count against its tenant's quota.
 func TestRequestThatDidNotRunIsGivenBackToTheQuota(t *testing.T) {
 	k := newKeyedServer(t, tenantsConfig(1, tenant("school", "key-1")))
 	q := &fakeQuota{left: 2}
 	k.deps.Quota = q
-	k.ask("/lots/7", headerKey, "key-1")
+	k.get("/lots/7", headerKey, "key-1")
 	assert.Equal(t, q.returned, 1)
 	k.sent.reply.Result = outcome.Uncertain(outcome.ReasonBrokeOff)
-	k.ask("/lots/7", headerKey, "key-1")
-	assert.Equal(t, q.returned, 1, "this one may have run")
+	k.get("/lots/7", headerKey, "key-1")
+	assert.Equal(t, q.returned, 1, "the request may have run")
 }
 
-// A tenant that floods with large bodies must not have them read to be told that it floods.
+// The body of a request that is over quota must not be read before the refusal: a tenant could
+// otherwise flood the host with large bodies.
 func TestBodyBeyondTheQuotaIsNotRead(t *testing.T) {
 	k := newKeyedServer(t, tenantsConfig(1, tenant("school", "key-1")))
 	k.deps.Quota = &fakeQuota{full: true}
--- a/entry/upload.go
+++ b/entry/upload.go
@@ -12,43 +12,44 @@
 )
 
 const (
-	// restTime and restBytes bound what is read of an upload after its answer, so that the
-	// caller finds the answer and not a reset connection. 256 kB are what net/http reads
-	// in such a case, and take 0.2 s on a link of 10 Mbit/s.
-	restTime  = 500 * time.Millisecond
-	restBytes = 256 << 10
+	// drainTimeout and drainBytes limit how much of an upload is read after its response, so that
+	// the caller receives the response and not a connection reset. net/http reads 256 KiB in such
+	// a case, which takes 0.2 s on a link of 10 Mbit/s.
+	drainTimeout = 500 * time.Millisecond
+	drainBytes   = 256 << 10
 )
 
-// errAnswered ends the sending of an upload to a target that has answered it.
-var errAnswered = errors.New("upload was answered before its end")
+// errResponded ends the forwarding of an upload whose target has already responded.
+var errResponded = errors.New("response completed before the end of the upload")
 
-// uploadWriter is a request over HTTP/1 with a body, and the writer of its answer.
+// uploadWriter wraps an HTTP/1 request that has a body, and its ResponseWriter.
 //
-// In full duplex, net/http uses the connection again although the rest of the body is unread, and
-// reads that as the next request. An answer that begins before the upload has ended says
-// Connection: close, and no read is under way when the handler returns.
+// In full-duplex mode, net/http reuses the connection even if a part of the body is unread, and
+// parses that part as the next request. So a response that begins before the end of the upload
+// is sent with Connection: close, and no read may be in progress when the handler returns.
 //
-// After that, net/http closes at once, which resets the connection and loses the answer. Some of
-// the rest is read first, for as long as net/http waits in other cases.
+// net/http then closes the connection immediately, which resets it and loses the response. To
+// avoid that, a part of the remaining body is read first, for as long as net/http does in other
+// cases.
 type uploadWriter struct {
 	http.ResponseWriter
 	request *http.Request
 	body    *uploadBody
-	// duplex is set if the answer may begin before the upload has ended.
+	// duplex is set if the response may begin before the end of the upload.
 	duplex bool
 }
 
-func newUploadWriter(w http.ResponseWriter, r *http.Request, pace *bodyPace) *uploadWriter {
-	body := &uploadBody{src: r.Body, ctx: r.Context(), pace: pace}
-	request := *r // net/http looks at the body of its own one
+func newUploadWriter(w http.ResponseWriter, r *http.Request, limiter *bodyRateLimiter) *uploadWriter {
+	body := &uploadBody{src: r.Body, ctx: r.Context(), limiter: limiter}
+	request := *r // a copy, because net/http inspects the body of the original
 	request.Body = body
 	return &uploadWriter{ResponseWriter: w, request: &request, body: body}
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap supports http.ResponseController.
 func (u *uploadWriter) Unwrap() http.ResponseWriter { return u.ResponseWriter }
 
-// EnableFullDuplex is for http.ResponseController.
+// EnableFullDuplex supports http.ResponseController.
 func (u *uploadWriter) EnableFullDuplex() error {
 	u.duplex = true
 	return http.NewResponseController(u.ResponseWriter).EnableFullDuplex()
@@ -56,81 +57,83 @@
 
 // WriteHeader implements http.ResponseWriter.
 func (u *uploadWriter) WriteHeader(status int) {
-	if u.early() {
+	if u.leavesBodyUnread() {
 		u.Header().Set("Connection", "close")
 	}
 	u.ResponseWriter.WriteHeader(status)
 }
 
-// early reports whether net/http leaves a part of the upload unread: in full duplex, and
-// where the caller said Connection: close, after which it closes at once.
-func (u *uploadWriter) early() bool {
-	return (u.duplex || u.request.Close) && !u.body.ended.Load()
+// leavesBodyUnread reports whether net/http would leave a part of the upload unread: in
+// full-duplex mode, or if the caller sent Connection: close, in which case it closes
+// immediately.
+func (u *uploadWriter) leavesBodyUnread() bool {
+	return (u.duplex || u.request.Close) && !u.body.eof.Load()
 }
 
-// end returns once nothing reads the upload any more. It follows a whole answer: one that
-// broke off has to break the connection at once.
-func (u *uploadWriter) end() {
-	if !u.early() {
+// drain waits until nothing reads the upload any more and reads a part of what remains. It is only
+// called after a complete response: a truncated one must break the connection immediately.
+func (u *uploadWriter) drain() {
+	if !u.leavesBodyUnread() {
 		return
 	}
-	u.body.answered.Store(true)
+	u.body.responded.Store(true)
 	control := http.NewResponseController(u.ResponseWriter)
-	_ = control.Flush() // the caller is gone if this fails, and so does the reading
-	_ = control.SetReadDeadline(time.Now().Add(restTime))
-	if u.expected() {
-		_, _ = io.CopyN(io.Discard, u.body.rest(), u.restBytes())
+	_ = control.Flush() // if this fails, the caller is gone and the reads below fail too
+	_ = control.SetReadDeadline(time.Now().Add(drainTimeout))
+	if u.bodyExpected() {
+		_, _ = io.CopyN(io.Discard, u.body.remaining(), u.drainLimit())
 	}
 }
 
-// restBytes returns how much of the rest is read. After more than that net/http ends the
-// connection gently, but not if the caller said Connection: close.
-func (u *uploadWriter) restBytes() int64 {
+// drainLimit returns how many bytes of the remaining body are read. Beyond that, net/http closes
+// the connection gracefully, except if the caller sent Connection: close.
+func (u *uploadWriter) drainLimit() int64 {
 	if u.request.Close {
 		return math.MaxInt64
 	}
-	return restBytes
+	return drainBytes
 }
 
-// expected reports whether the caller sends its upload. One that waits for 100 Continue and
-// got an answer in its place does not.
-func (u *uploadWriter) expected() bool {
-	return u.body.begun.Load() || u.request.Header.Get("Expect") == ""
+// bodyExpected reports whether the caller sends its upload. A caller that waits for 100 Continue
+// and receives a final response instead doesn't send it.
+func (u *uploadWriter) bodyExpected() bool {
+	return u.body.started.Load() || u.request.Header.Get("Expect") == ""
 }
 
-// uploadBody notes how far a body was read.
+// uploadBody tracks how much of a request body has been read, and limits the rate.
 type uploadBody struct {
-	mu  sync.Mutex // held by the one that reads
+	mu  sync.Mutex // held during reads
 	src io.ReadCloser
-	// ctx is the request's.
-	ctx  context.Context
-	pace *bodyPace
-	// begun and ended are set once a part or all of it was read.
-	begun, ended atomic.Bool
-	// answered is set once no more of it is passed on.
-	answered atomic.Bool
+	// ctx is the context of the request.
+	ctx     context.Context
+	limiter *bodyRateLimiter
+	// started is set once a part of the body has been read, eof once all of it has.
+	started, eof atomic.Bool
+	// responded is set once no more of the body may be forwarded.
+	responded atomic.Bool
 }
 
 // Read implements io.Reader.
 func (b *uploadBody) Read(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.answered.Load() {
-		return 0, errAnswered
+	if b.responded.Load() {
+		return 0, errResponded
 	}
-	b.begun.Store(true)
+	b.started.Store(true)
 	n, err := b.src.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.ended.Store(true)
+		b.eof.Store(true)
 	}
-	if left := b.pace.wait(b.ctx, n); left != nil {
-		return n, left
+	if waitErr := b.limiter.wait(b.ctx, n); waitErr != nil {
+		return n, waitErr
 	}
 	return n, err
 }
 
-// rest waits for the read under way and returns what is left. Nobody else reads any more.
-func (b *uploadBody) rest() io.Reader {
+// remaining waits for a read in progress and returns the rest of the body. The caller must be its
+// only reader from then on.
+func (b *uploadBody) remaining() io.Reader {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.src
