--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -81,8 +81,8 @@
 	p.quarantineAttempt.Started(p.grant.Target().Run())
 	req := d.newRequest(ctx, c, p.grant.Target())
 	res := d.upstream.RoundTrip(req, p.grant.Target(), upstream.SendOptions{
-		MaxConns: d.connShare(c),
-		Once:     c.Idempotency == NonIdempotent,
+		MaxConns:      d.connShare(c),
+		NonIdempotent: c.Idempotency == NonIdempotent,
 	})
 	if res.Err != nil {
 		a.classifyError(ctx, res, c.Body.Aborted())
--- a/upstream/body.go
+++ b/upstream/body.go
@@ -6,34 +6,34 @@
 	"sync"
 )
 
-// body gives the connection back once the answer was read to its end, and
-// closes it if the reader stops earlier.
-type body struct {
+// responseBody returns its connection to the pool once the response has been read to its end, and
+// closes the connection if the reader stops earlier.
+type responseBody struct {
 	io.ReadCloser
-	pool  *pool
-	conn  *conn
-	ended bool
-	once  sync.Once
+	pool *pool
+	conn *conn
+	eof  bool
+	once sync.Once
 }
 
-func (b *body) Read(p []byte) (int, error) {
+func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.ended = true
+		b.eof = true
 	}
 	return n, err
 }
 
-func (b *body) Close() error {
+func (b *responseBody) Close() error {
 	err := b.ReadCloser.Close()
 	b.once.Do(b.release)
 	return err
 }
 
-func (b *body) release() {
-	if b.ended {
-		b.pool.put(b.conn)
+func (b *responseBody) release() {
+	if b.eof {
+		b.pool.release(b.conn)
 		return
 	}
-	b.pool.drop(b.conn)
+	b.pool.discard(b.conn)
 }
--- a/upstream/dial.go
+++ b/upstream/dial.go
@@ -10,20 +10,19 @@
 )
 
 const (
-	// unackedTimeout ends a connection on which sent bytes stay unacknowledged.
+	// unackedTimeout ends a connection on which sent data stays unacknowledged (TCP_USER_TIMEOUT).
 	//
 	// A connection may go silent without a reset, and each request on it would hang until its
-	// deadline. Acknowledgements inside a region take far less.
+	// deadline. Acknowledgements within a region take far less time.
 	unackedTimeout = time.Second
-	// keepAliveIdle and keepAliveInterval find dead connections that wait for an
-	// answer with nothing left to acknowledge.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount configure TCP keep-alive. It detects
+	// dead connections that wait for a response and have no unacknowledged data.
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
 )
 
-// Dialer returns a function that opens TCP connections which notice by
-// themselves when the other end falls silent.
+// Dialer returns a dial function for TCP connections that detect an unresponsive peer.
 func Dialer(timeout time.Duration) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := &net.Dialer{
 		Timeout: timeout,
@@ -39,12 +38,12 @@
 }
 
 func setUnackedTimeout(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var optErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		optErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
--- a/upstream/memory_test.go
+++ b/upstream/memory_test.go
@@ -17,18 +17,18 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// maxRestingConn is the most that an idle connection to a target may hold, in bytes. The
-// few hundred that a host keeps then take 5 MB, a third of what a common host may use.
-const maxRestingConn = 16 << 10
+// maxIdleConnBytes is the maximum memory of an idle connection to a target. The few hundred that a
+// host keeps then take 5 MB, a third of what a typical host may use.
+const maxIdleConnBytes = 16 << 10
 
-// answerOnce answers each request on a connection, and closes it once hangUp is closed.
-func answerOnce(conn net.Conn, hangUp <-chan struct{}) {
+// serveConn responds to each request on a connection, and closes it once hangUp is closed.
+func serveConn(conn net.Conn, hangUp <-chan struct{}) {
 	defer conn.Close()
 	go func() {
 		<-hangUp
 		_ = conn.Close()
 	}()
-	var request [512]byte // holds all of one
+	var request [512]byte // large enough for one request
 	for {
 		if _, err := conn.Read(request[:]); err != nil {
 			return
@@ -39,7 +39,7 @@
 	}
 }
 
-func listenAnswering(t *testing.T, hangUp <-chan struct{}) string {
+func startServer(t *testing.T, hangUp <-chan struct{}) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -50,14 +50,14 @@
 			if err != nil {
 				return
 			}
-			go answerOnce(conn, hangUp)
+			go serveConn(conn, hangUp)
 		}
 	}()
 	return l.Addr().String()
 }
 
-// askMany asks each of n targets once, so that each has one idle connection.
-func askMany(t *testing.T, p *Pools, addr string, n int) {
+// requestEach sends one request to each of n targets, so that each has one idle connection.
+func requestEach(t *testing.T, p *Pools, addr string, n int) {
 	t.Helper()
 	for i := range n {
 		target := blackboard.Target{ID: ports.HostID(fmt.Sprintf("t%03d", i)), Addr: addr}
@@ -65,33 +65,34 @@
 	}
 }
 
-// The platform ends a host's process for its memory, and its callers lose their requests.
-// A host asks each of hundreds of targets now and then: what an idle connection keeps is
-// held once for each of them.
+// A host sends requests to hundreds of targets now and then and keeps an idle connection to
+// each. If these used too much memory, the platform would kill the process and callers would
+// lose requests.
 func TestIdleConnectionsHoldLittle(t *testing.T) {
 	const targets = 200
 	hangUp := make(chan struct{})
 	t.Cleanup(func() { close(hangUp) })
-	addr := listenAnswering(t, hangUp)
+	addr := startServer(t, hangUp)
 	p := New(Options{})
 	defer p.Close()
 	before := heapInUse()
-	askMany(t, p, addr, targets)
+	requestEach(t, p, addr, targets)
 	each := (heapInUse() - before) / targets
-	assert.Check(t, each <= maxRestingConn, "an idle connection holds %d bytes, at most %d are allowed", each, maxRestingConn)
+	assert.Check(t, each <= maxIdleConnBytes, "an idle connection holds %d bytes, at most %d are allowed", each, maxIdleConnBytes)
 	runtime.KeepAlive(p)
 }
 
-// A target closes what is idle for longer than it likes, and a host that asks hundreds of
-// targets now and then holds mostly such connections: it keeps their buffers, and counts
-// them against its part of the target's connections, though none can be used again.
-func TestConnectionsThatTargetsClosedAreLetGo(t *testing.T) {
+// Targets close idle connections, so a host that rarely sends requests to hundreds of targets
+// holds mostly such connections. If they were kept, their buffers would use memory and they
+// would count against this host's share of the target's connections, although none can be used
+// again.
+func TestConnectionsClosedByTargetsAreDropped(t *testing.T) {
 	const targets = 20
 	hangUp := make(chan struct{})
-	addr := listenAnswering(t, hangUp)
+	addr := startServer(t, hangUp)
 	p := New(Options{})
 	defer p.Close()
-	askMany(t, p, addr, targets)
+	requestEach(t, p, addr, targets)
 	close(hangUp)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		p.Retain(func(ports.HostID) bool { return true })
@@ -114,10 +115,10 @@
 	return n
 }
 
-// heapInUse returns the bytes of live objects.
+// heapInUse returns the size of live heap objects in bytes.
 func heapInUse() int64 {
 	runtime.GC()
-	runtime.GC() // the first leaves what pools hold
+	runtime.GC() // the first run leaves objects held by sync.Pool
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
--- a/upstream/pool.go
+++ b/upstream/pool.go
@@ -15,13 +15,13 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// pool is this host's connections to one target.
+// pool holds this host's connections to one target.
 type pool struct {
 	owner *Pools
 	addr  string
-	// run is the target's run that the connections were made to: those to an earlier one
-	// are dead, also where no reset said so.
-	run ports.Incarnation
+	// incarnation is the run of the target that the connections belong to. Connections to an
+	// earlier run are dead even if they have not been reset.
+	incarnation ports.Incarnation
 
 	mu     sync.Mutex
 	open   int // connections open or being opened
@@ -29,20 +29,19 @@
 	closed bool
 }
 
-// conn is one connection with what is needed to tell whether a request left.
+// conn is a connection that counts its writes, which shows whether a request was sent.
 type conn struct {
-	cc      *http.ClientConn
-	counter *countingConn
-	since   time.Time // when it became idle
-	// keepFor is how long the target keeps the connection idle, 0 if not told.
-	keepFor time.Duration
-	busy    atomic.Bool
-}
-
-// take returns a connection for one request: the one that was used last, or a
-// new one.
-func (p *pool) take(ctx context.Context, o SendOptions) (*conn, error) {
-	if c := p.takeIdle(o.Once); c != nil {
+	cc        *http.ClientConn
+	counter   *countingConn
+	idleSince time.Time // when it became idle
+	// idleTimeout is how long the target keeps the connection idle; 0 if unknown.
+	idleTimeout time.Duration
+	busy        atomic.Bool
+}
+
+// acquire returns a connection for one request: the most recently used idle one, or a new one.
+func (p *pool) acquire(ctx context.Context, o SendOptions) (*conn, error) {
+	if c := p.acquireIdle(o.NonIdempotent); c != nil {
 		return c, nil
 	}
 	if !p.reserve(o.MaxConns) {
@@ -50,18 +49,18 @@
 	}
 	c, err := p.dial(ctx)
 	if err != nil {
-		p.forget()
+		p.releaseSlot()
 		return nil, err
 	}
 	return c, nil
 }
 
-func (p *pool) takeIdle(once bool) *conn {
+func (p *pool) acquireIdle(nonIdempotent bool) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
-		if c.cc.Available() > 0 && once && time.Since(c.since) >= p.owner.opts.OnceIdle {
+		if c.cc.Available() > 0 && nonIdempotent && time.Since(c.idleSince) >= p.owner.opts.NonIdempotentMaxIdle {
 			return nil
 		}
 		p.idle = p.idle[:len(p.idle)-1]
@@ -75,8 +74,8 @@
 	return nil
 }
 
-// reserve makes room for a new connection, if need be by closing the one that
-// was idle longest.
+// reserve makes room for a new connection, by closing the one that has been idle longest if
+// necessary. It returns false at the limit if no connection is idle.
 func (p *pool) reserve(limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +91,7 @@
 	return true
 }
 
-func (p *pool) forget() {
+func (p *pool) releaseSlot() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
@@ -110,13 +109,13 @@
 	return c, nil
 }
 
-// put takes back a connection whose answer was read to its end.
-func (p *pool) put(c *conn) {
+// release returns a connection whose response was read to its end to the pool.
+func (p *pool) release(c *conn) {
 	if c.cc.Available() == 0 {
-		p.drop(c)
+		p.discard(c)
 		return
 	}
-	c.since = time.Now()
+	c.idleSince = time.Now()
 	c.busy.Store(false)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -128,33 +127,33 @@
 	p.idle = append(p.idle, c)
 }
 
-// drop closes a connection that can not be used again.
-func (p *pool) drop(c *conn) {
-	p.forget()
+// discard closes a connection that can't be used again.
+func (p *pool) discard(c *conn) {
+	p.releaseSlot()
 	c.close()
 }
 
 func (c *conn) close() { _ = c.cc.Close() }
 
-// closeMargin is how long before a target's own time-out a connection is no
-// longer used: a request that crosses with the close is lost, and nobody can say
-// whether it ran. It covers a delay of the process and of the network.
+// closeMargin is how long before the target's idle timeout a connection is no longer used. If a
+// request crosses with the close, it is lost and nobody can tell whether it ran. The margin covers
+// delays of the process and the network.
 const closeMargin = time.Second
 
 // expiring reports whether the target may be closing the connection.
 func (c *conn) expiring() bool {
-	return c.keepFor > 0 && time.Since(c.since) > c.keepFor-closeMargin
+	return c.idleTimeout > 0 && time.Since(c.idleSince) > c.idleTimeout-closeMargin
 }
 
 // usable reports whether an idle connection may carry another request.
 func (c *conn) usable() bool { return c.cc.Available() > 0 && !c.expiring() }
 
-// readKeepAlive takes in how long the target says that it keeps the connection.
+// readKeepAlive reads the target's idle timeout from the Keep-Alive header.
 func (c *conn) readKeepAlive(h http.Header) {
 	for param := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
 		if seconds, err := strconv.Atoi(value); err == nil && name == "timeout" {
-			c.keepFor = time.Duration(seconds) * time.Second
+			c.idleTimeout = time.Duration(seconds) * time.Second
 		}
 	}
 }
@@ -170,16 +169,16 @@
 	p.idle = nil
 }
 
-// closeUnusable closes the idle connections that became idle before t, that their target
-// closed, or that it is about to close.
+// closeUnusable closes the idle connections that became idle before t and those that their target
+// has closed or is about to close.
 //
-// Targets close what is idle, so that a host which seldom asks many of them would keep mostly
-// dead connections.
+// Targets close idle connections, so a host that rarely sends requests to many targets would
+// otherwise hold mostly dead connections.
 func (p *pool) closeUnusable(t time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.idle = slices.DeleteFunc(p.idle, func(c *conn) bool {
-		if c.usable() && !c.since.Before(t) {
+		if c.usable() && !c.idleSince.Before(t) {
 			return false
 		}
 		p.open--
@@ -190,9 +189,8 @@
 
 type counterKey struct{}
 
-// countingConn counts the writes begun on a connection. A write counts from its
-// beginning: a caller that gave up while it was under way can not know how much
-// of it left.
+// countingConn counts the writes started on a connection. A write is counted when it starts: if it
+// is aborted, there is no way to know how much of it was sent.
 type countingConn struct {
 	net.Conn
 	writes atomic.Uint64
@@ -211,8 +209,8 @@
 		return nil, err
 	}
 	c := &countingConn{Conn: raw}
-	if slot, ok := ctx.Value(counterKey{}).(**countingConn); ok {
-		*slot = c
+	if dst, ok := ctx.Value(counterKey{}).(**countingConn); ok {
+		*dst = c
 	}
 	return c, nil
 }
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -1,7 +1,7 @@
-// Package upstream keeps the connections to targets and sends single attempts
-// over them. It never repeats a request: net/http's Transport does so by itself
-// when a kept-alive connection fails, so every attempt is sent here on one
-// http.ClientConn, which does not.
+// Package upstream maintains the connection pools to targets and sends single attempts over them.
+// It never retries a request. net/http's Transport does so on its own when a kept-alive connection
+// fails, so each attempt is sent on an http.ClientConn, which does not. For every failed attempt
+// the package reports whether any byte of the request may have been sent.
 package upstream
 
 import (
@@ -19,49 +19,50 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// ErrConnLimit says that this host holds its share of the target's connections.
+// ErrConnLimit means that this host's share of the target's connections is in use.
 var ErrConnLimit = errors.New("connection limit of the target reached")
 
-// connBufferSize holds the header of a request or an answer. A host keeps connections to
-// hundreds of targets, and bodies pass by the buffer.
+// connBufferSize is the size in bytes of a connection's buffers, which hold the header of a
+// request or response. It is small because a host keeps connections to hundreds of targets;
+// bodies bypass the buffers.
 const connBufferSize = 4 << 10
 
-// Result is how one attempt went. Either Response or Err is set.
+// Result is the result of one attempt. Either Response or Err is set.
 type Result struct {
-	// Response's body must be closed.
+	// Response has a body that must be closed.
 	Response *http.Response
-	// Sent is true once any byte of the request may have left this host.
+	// Sent is set if any byte of the request may have left this host.
 	Sent bool
 	Err  error
 }
 
-// SendOptions says how one attempt may use connections.
+// SendOptions controls the use of connections by one attempt.
 type SendOptions struct {
-	// MaxConns bounds this host's connections to the target.
+	// MaxConns limits this host's connections to the target; 0 means no limit.
 	MaxConns int
-	// Once marks a request that may not be repeated. It never goes out on a
-	// connection that was idle for longer than Options.OnceIdle: the target may
-	// be closing that one, and a request that crosses with the close is lost
-	// with nobody able to say whether it ran.
-	Once bool
+	// NonIdempotent marks a request that must not be repeated. It is never sent on a connection
+	// that was idle for longer than Options.NonIdempotentMaxIdle: the target may be closing that
+	// connection, and if the request crosses with the close, it is lost and nobody can tell
+	// whether it ran.
+	NonIdempotent bool
 }
 
-// RoundTripper sends one attempt to one target.
+// RoundTripper sends single attempts to targets.
 type RoundTripper interface {
 	RoundTrip(req *http.Request, t blackboard.Target, o SendOptions) Result
 }
 
-// Options of Pools; zero values take the defaults named.
+// Options configures Pools. Zero values are replaced by the defaults given.
 type Options struct {
-	// DialTimeout bounds a new connection; 1 s.
+	// DialTimeout limits the time to open a connection; default 1 s.
 	DialTimeout time.Duration
-	// IdleTimeout closes a connection unused for this long; 30 s.
+	// IdleTimeout is how long an unused connection is kept; default 30 s.
 	IdleTimeout time.Duration
-	// OnceIdle is explained at SendOptions.Once; 500 ms.
-	OnceIdle time.Duration
-	// MaxResponseHeader bounds the header of an answer in bytes; 64 KiB.
+	// NonIdempotentMaxIdle is described at SendOptions.NonIdempotent; default 500 ms.
+	NonIdempotentMaxIdle time.Duration
+	// MaxResponseHeader limits the response header in bytes; default 64 KiB.
 	MaxResponseHeader int64
-	// TLS is used towards targets; nil means plain TCP.
+	// TLS is the configuration for connections to targets; nil means plain TCP.
 	TLS *tls.Config
 }
 
@@ -72,8 +73,8 @@
 	if o.IdleTimeout == 0 {
 		o.IdleTimeout = 30 * time.Second
 	}
-	if o.OnceIdle == 0 {
-		o.OnceIdle = 500 * time.Millisecond
+	if o.NonIdempotentMaxIdle == 0 {
+		o.NonIdempotentMaxIdle = 500 * time.Millisecond
 	}
 	if o.MaxResponseHeader == 0 {
 		o.MaxResponseHeader = 64 << 10
@@ -81,7 +82,7 @@
 	return o
 }
 
-// Pools holds a pool of connections for each target.
+// Pools manages one connection pool per target. It is safe for concurrent use.
 type Pools struct {
 	opts      Options
 	scheme    string
@@ -93,7 +94,7 @@
 
 var _ RoundTripper = (*Pools)(nil)
 
-// New returns pools without connections.
+// New returns Pools without connections.
 func New(o Options) *Pools {
 	o = o.withDefaults()
 	p := &Pools{opts: o, scheme: "http", pools: make(map[ports.HostID]*pool)}
@@ -118,10 +119,10 @@
 	return p
 }
 
-// RoundTrip sends the request to the target on a kept connection or a new one.
+// RoundTrip sends a request to a target on an idle connection or a new one.
 func (p *Pools) RoundTrip(req *http.Request, t blackboard.Target, o SendOptions) Result {
 	pl := p.pool(t)
-	c, err := pl.take(req.Context(), o)
+	c, err := pl.acquire(req.Context(), o)
 	if err != nil {
 		return Result{Err: err}
 	}
@@ -131,12 +132,12 @@
 	resp, err := c.cc.RoundTrip(req)
 	if err != nil {
 		sent := c.counter.writes.Load() != before
-		pl.drop(c)
+		pl.discard(c)
 		return Result{Sent: sent, Err: err}
 	}
 	invariant.Check(resp.Request == req, invariant.OwnAnswer, "target=%s answered another request", t.ID)
 	c.readKeepAlive(resp.Header)
-	resp.Body = &body{ReadCloser: resp.Body, pool: pl, conn: c}
+	resp.Body = &responseBody{ReadCloser: resp.Body, pool: pl, conn: c}
 	return Result{Response: resp, Sent: true}
 }
 
@@ -144,18 +145,18 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pl := p.pools[t.ID]
-	if pl == nil || pl.addr != t.Addr || t.Incarnation.Replaces(pl.run) {
+	if pl == nil || pl.addr != t.Addr || t.Incarnation.Replaces(pl.incarnation) {
 		if pl != nil {
 			pl.closeIdle()
 		}
-		pl = &pool{owner: p, addr: t.Addr, run: t.Incarnation}
+		pl = &pool{owner: p, addr: t.Addr, incarnation: t.Incarnation}
 		p.pools[t.ID] = pl
 	}
 	return pl
 }
 
-// Retain closes the idle connections of targets that are not kept any more, those of all
-// targets that were unused for the idle timeout, and those that can not be used again.
+// Retain closes the idle connections of targets for which keep returns false. For the other
+// targets it closes connections that were unused for the idle timeout or can't be used again.
 func (p *Pools) Retain(keep func(ports.HostID) bool) {
 	now := time.Now()
 	p.mu.Lock()
@@ -170,7 +171,7 @@
 	}
 }
 
-// Close closes all idle connections; those in use close when their answer ends.
+// Close closes all idle connections. Connections in use are closed when their response ends.
 func (p *Pools) Close() {
 	p.Retain(func(ports.HostID) bool { return false })
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -37,9 +37,9 @@
 	return string(b)
 }
 
-// The caller sees one failed attempt, and the target ran the request once. The
-// target reads a body-less POST with an idempotency key on a kept connection
-// and closes it without an answer; net/http's Transport would send it again.
+// The target reads a POST without a body, but with an idempotency key, on a kept-alive connection
+// and closes the connection without a response. net/http's Transport would resend such a request.
+// The caller must see a failed attempt, and the target must receive the request only once.
 func TestRequestIsNotRepeatedWhenKeptConnectionCloses(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -61,8 +61,8 @@
 	assert.Equal(t, runs.Load(), int32(2))
 }
 
-// closeSecondRequest answers the first request of each connection and closes it
-// after reading the second.
+// closeSecondRequest responds to the first request on each connection and closes the connection
+// after it has read the second.
 func closeSecondRequest(l net.Listener, runs *atomic.Int32) {
 	for {
 		c, err := l.Accept()
@@ -110,16 +110,16 @@
 	assert.Equal(t, first, second)
 }
 
-func TestOnceAvoidsConnectionsIdleForLong(t *testing.T) {
+func TestNonIdempotentRequestAvoidsLongIdleConnections(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.WriteString(w, r.RemoteAddr)
 	}))
 	defer s.Close()
-	p := New(Options{OnceIdle: time.Nanosecond})
+	p := New(Options{NonIdempotentMaxIdle: time.Nanosecond})
 	defer p.Close()
 	tg := targetAt(s.Listener.Addr().String())
 	first := readAll(t, p.RoundTrip(request(t, context.Background(), http.MethodGet), tg, SendOptions{MaxConns: 1}))
-	second := readAll(t, p.RoundTrip(request(t, context.Background(), http.MethodPost), tg, SendOptions{MaxConns: 1, Once: true}))
+	second := readAll(t, p.RoundTrip(request(t, context.Background(), http.MethodPost), tg, SendOptions{MaxConns: 1, NonIdempotent: true}))
 	assert.Check(t, first != second)
 }
 
