--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -42,8 +42,7 @@
 	Call(service blackboard.ServiceKey, now time.Time)
 	// Take reports whether the budget allows one retry, and deducts it if so.
 	Take(service blackboard.ServiceKey, now time.Time) bool
-	// TakeSecond reports whether the part of the budget that is reserved for hedges
-	// allows one, and deducts it if so.
+	// TakeHedge is like Take for a hedge. Hedges may use only a part of the budget.
 	TakeHedge(service blackboard.ServiceKey, now time.Time) bool
 }
 
@@ -162,8 +161,8 @@
 	}
 }
 
-// quarantineReason tells a request that timed out waiting for its turn to run alone from one
-// that is refused because it is suspected of crashing targets.
+// quarantineReason returns the reason for a refusal by the quarantine: the request timed out
+// waiting for its turn to run alone, or it is suspected of crashing targets.
 func quarantineReason(d quarantine.Decision) outcome.Reason {
 	if d.Waited {
 		return outcome.ReasonQueueTimeout
