--- a/controller/watch/denial_test.go
+++ b/controller/watch/denial_test.go
@@ -35,13 +35,13 @@
 // newCallers returns the HTTP handler for a host's callers.
 func newCallers(board *blackboard.Board, c entry.Confirmer) http.Handler {
 	return entry.New(entry.Deps{
-		Board:      board,
-		Dispatcher: noCapacity{},
-		Metrics:    metrics.New(),
-		Fresh:      func() bool { return true },
-		Contract:   &targetapi.Contract{},
-		Finder:     entry.NewRouteFinder(board, c),
-	}).Calls()
+		Board:       board,
+		Dispatcher:  noCapacity{},
+		Metrics:     metrics.New(),
+		ConfigFresh: func() bool { return true },
+		Contract:    &targetapi.Contract{},
+		Finder:      entry.NewRouteFinder(board, c),
+	}).ProxyHandler()
 }
 
 // denies reports whether the host answers a request for a path with 404.
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -69,7 +69,7 @@
 	leave      *leave.Controller
 
 	callers    daemon.Callers
-	ownAnswers *entry.OwnAnswers
+	ownAnswers *entry.ServerResponseMonitor
 	readiness  *http.Server
 	operators  *http.Server
 }
--- a/edge/provision.go
+++ b/edge/provision.go
@@ -176,29 +176,29 @@
 
 func (d *Daemon) provisionCallers() {
 	dispatcher := dispatch.New(dispatch.Deps{
-		Board:       d.board,
-		Picker:      d.picker,
-		Upstream:    d.pools,
-		Quarantine:  d.quarantine,
-		Metrics:     d.metrics,
-		Contract:    d.platform.Contract,
-		Heard:       d.observeSignals,
-		Retries:     newRetryBudget(d.settings.Retries, d.board),
-		HoldAnswers: d.responseMemory(),
+		Board:               d.board,
+		Picker:              d.picker,
+		Upstream:            d.pools,
+		Quarantine:          d.quarantine,
+		Metrics:             d.metrics,
+		Contract:            d.platform.Contract,
+		SignalListener:      d.observeSignals,
+		Retries:             newRetryBudget(d.settings.Retries, d.board),
+		ResponseBufferBytes: d.responseMemory(),
 	})
 	d.entry = entry.New(entry.Deps{
-		Board:      d.board,
-		Dispatcher: dispatcher,
-		Metrics:    d.metrics,
-		BodyMemory: d.bodyMemory(),
-		LinkBytes:  d.settings.LinkMbps * 1e6 / 8,
-		Watches:    d.watch.Watches,
-		Fresh:      func() bool { return true },
-		Contract:   d.platform.Contract,
-		Finder:     entry.NewRouteFinder(d.board, d.watch),
-		Quota:      d.quota,
-		Calls:      calllog.New(d.log, d.metrics),
-		AwaitStart: d.watch.AwaitStart,
+		Board:              d.board,
+		Dispatcher:         dispatcher,
+		Metrics:            d.metrics,
+		BodyMemory:         d.bodyMemory(),
+		LinkBytesPerSecond: d.settings.LinkMbps * 1e6 / 8,
+		WatchesStore:       d.watch.Watches,
+		ConfigFresh:        func() bool { return true },
+		Contract:           d.platform.Contract,
+		Finder:             entry.NewRouteFinder(d.board, d.watch),
+		Quota:              d.quota,
+		CallLog:            calllog.New(d.log, d.metrics),
+		AwaitStart:         d.watch.AwaitStart,
 	})
 }
 
@@ -225,7 +225,7 @@
 		header = defaultMaxHeaderBytes
 	}
 	callers := &http.Server{
-		Handler:           d.entry.Calls(),
+		Handler:           d.entry.ProxyHandler(),
 		MaxHeaderBytes:    header,
 		ReadHeaderTimeout: d.settings.Callers.ReadHeaderTimeout.Or(defaultCallerHeaderTimeout),
 		IdleTimeout:       d.settings.Callers.IdleTimeout.Or(defaultIdleTimeout),
@@ -233,8 +233,8 @@
 		// net/http would answer OPTIONS * with status 200 although no route matches it.
 		DisableGeneralOptionsHandler: true,
 	}
-	d.ownAnswers = entry.NewOwnAnswers(d.log, d.metrics, d.platform.Contract.RequestID)
-	d.ownAnswers.Watch(callers)
+	d.ownAnswers = entry.NewServerResponseMonitor(d.log, d.metrics, d.platform.Contract.RequestID)
+	d.ownAnswers.Attach(callers)
 	d.callers = daemon.Callers{
 		Server:   callers,
 		Listener: d.ownAnswers.Listener(d.listeners.callers),
--- a/edge/retries.go
+++ b/edge/retries.go
@@ -51,8 +51,8 @@
 // retries of requests that were rejected or failed, which would otherwise get no response.
 const hedgeBudgetRatio = 0.8
 
-// TakeSecond implements dispatch.RetryBudget.
-func (r *retryBudget) TakeSecond(key blackboard.ServiceKey, now time.Time) bool {
+// TakeHedge implements dispatch.RetryBudget.
+func (r *retryBudget) TakeHedge(key blackboard.ServiceKey, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.window(key)
