--- a/backpressure/backpressure.go
+++ b/backpressure/backpressure.go
@@ -217,17 +217,17 @@
 	return nil
 }
 
-// Heard takes in what a target says of itself; it is a pick.Listener.
-func (p *Picker) Heard(service blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
+// HandleSignals takes in what a target says of itself; it is a pick.Listener.
+func (p *Picker) HandleSignals(service blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
 	if s.Leaving && p.leavers.add(t.Run()) {
 		p.lines.info("target leaving by its own answer", zap.String("target", string(t.Run())), zap.String("service", service.Service))
 		p.markLeaving(service, t)
 	}
-	if s.Rest > 0 {
+	if s.RetryAfter > 0 {
 		p.count.rests.Add(1)
-		if p.rests.add(service, t, s.Rest) {
+		if p.rests.add(service, t, s.RetryAfter) {
 			p.lines.info("target asks for rest", zap.String("target", string(t.Run())), zap.String("service", service.Service),
-				zap.Duration("rest", s.Rest))
+				zap.Duration("rest", s.RetryAfter))
 		}
 	}
 	if p.limits.Heard(service, t, s) {
@@ -235,8 +235,8 @@
 	}
 }
 
-// Resting reports whether a target wants nothing from this host now.
-func (p *Picker) Resting(service blackboard.ServiceKey, t blackboard.Target) bool {
+// BackedOff reports whether a target wants nothing from this host now.
+func (p *Picker) BackedOff(service blackboard.ServiceKey, t blackboard.Target) bool {
 	return p.rests.has(service, t)
 }
 
@@ -350,7 +350,7 @@
 
 // Basis implements pick.Explained.
 func (h *held) Basis() (b pick.Basis) {
-	if g, ok := h.Grant.(pick.Explained); ok {
+	if g, ok := h.Grant.(pick.Explainer); ok {
 		b = g.Basis()
 	}
 	b.Limit = h.perSecond
--- a/backpressure/hosts_test.go
+++ b/backpressure/hosts_test.go
@@ -162,7 +162,7 @@
 		t := g.Target()
 		fl.arrived[t.ID] = append(fl.arrived[t.ID], time.Now())
 		fl.served++
-		h.picker.Heard(service, t, targetapi.Signals{Limit: fl.named(t.ID)})
+		h.picker.HandleSignals(service, t, targetapi.Signals{Limit: fl.named(t.ID)})
 		g.Release(pick.Report{Class: pick.OK, Load: -1})
 	}()
 }
--- a/backpressure/rest_test.go
+++ b/backpressure/rest_test.go
@@ -19,9 +19,9 @@
 func TestRestingTargetsArePickedByNothing(t *testing.T) {
 	withFleet(t, 2, 2, 0, func(fl *fleet) {
 		p, other := fl.hosts[0].picker, fl.hosts[1].picker
-		p.Heard(service, fl.targets[0], targetapi.Signals{Rest: 3 * time.Second})
-		p.Heard(service, fl.targets[0], targetapi.Signals{})                             // an answer that was under way
-		p.Heard(service, fl.targets[0], targetapi.Signals{Rest: 100 * time.Millisecond}) // and a shorter rest
+		p.HandleSignals(service, fl.targets[0], targetapi.Signals{RetryAfter: 3 * time.Second})
+		p.HandleSignals(service, fl.targets[0], targetapi.Signals{})                             // an answer that was under way
+		p.HandleSignals(service, fl.targets[0], targetapi.Signals{RetryAfter: 100 * time.Millisecond}) // and a shorter rest
 		for _, req := range []pick.Request{{}, {Hedge: true}, {Alone: true}} {
 			req.Service = service
 			for range 20 {
@@ -29,10 +29,10 @@
 				assert.Equal(t, g.Target().ID, fl.targets[1].ID)
 			}
 		}
-		assert.Check(t, !other.Resting(service, fl.targets[0]), "rest is asked of one host")
+		assert.Check(t, !other.BackedOff(service, fl.targets[0]), "rest is asked of one host")
 
 		time.Sleep(time.Second)
-		p.Heard(service, fl.targets[1], targetapi.Signals{Rest: 3 * time.Second})
+		p.HandleSignals(service, fl.targets[1], targetapi.Signals{RetryAfter: 3 * time.Second})
 		_, refusal := p.Pick(t.Context(), pick.Request{Service: service})
 		assert.Equal(t, refusal.Reason, outcome.ReasonTargetRest)
 		assert.Equal(t, refusal.RetryAfter, 2*time.Second)
@@ -69,13 +69,13 @@
 func TestGrantsForLeavingTargetsAreGivenBack(t *testing.T) {
 	withFleet(t, 1, 2, 0, func(fl *fleet) {
 		p := fl.hosts[0].picker
-		p.Heard(service, fl.targets[0], targetapi.Signals{Leaving: true})
-		p.Heard(service, fl.targets[0], targetapi.Signals{})
+		p.HandleSignals(service, fl.targets[0], targetapi.Signals{Leaving: true})
+		p.HandleSignals(service, fl.targets[0], targetapi.Signals{})
 		for range 50 {
 			g, _ := p.Pick(t.Context(), pick.Request{Service: service})
 			assert.Equal(t, g.Target().ID, fl.targets[1].ID)
 		}
-		p.Heard(service, fl.targets[1], targetapi.Signals{Leaving: true})
+		p.HandleSignals(service, fl.targets[1], targetapi.Signals{Leaving: true})
 		g, refusal := p.Pick(t.Context(), pick.Request{Service: service})
 		assert.Check(t, g == nil)
 		assert.Equal(t, refusal.Reason, outcome.ReasonNoTarget)
--- a/cactusproxy.go
+++ b/cactusproxy.go
@@ -96,7 +96,7 @@
 	link       peer.Link
 	node       *peer.Node // nil if the link was given
 	pools      *upstream.Pools
-	slots      *slots.Slots
+	slots      *slots.Picker
 	picker     *backpressure.Picker
 	ledger     *ledger.Ledger
 	quarantine *quarantine.Quarantine
--- a/controller/probes/http.go
+++ b/controller/probes/http.go
@@ -39,7 +39,7 @@
 // body may be out of date or wrong.
 func read(resp *http.Response) Result {
 	said := targetapi.Default().Signals(resp.StatusCode, resp.Header)
-	res := Result{OK: resp.StatusCode == http.StatusOK, Load: -1, Leaving: said.Leaving, Limit: said.Limit, Rest: said.Rest}
+	res := Result{OK: resp.StatusCode == http.StatusOK, Load: -1, Leaving: said.Leaving, Limit: said.Limit, Rest: said.RetryAfter}
 	if said.HasLoad {
 		res.Load = said.Load.Running
 	}
--- a/controller/probes/probes.go
+++ b/controller/probes/probes.go
@@ -69,7 +69,7 @@
 	// Leaving is told of a target that says it is to stop; nil tells nobody.
 	Leaving func(key blackboard.ServiceKey, id ports.HostID)
 	// Heard, if set, is told what targets say of themselves.
-	Heard pick.Listener
+	Heard pick.SignalHandler
 	// Resting, if set, reports whether a target wants nothing from this host now.
 	Resting func(key blackboard.ServiceKey, t blackboard.Target) bool
 	Metrics *metrics.Set
@@ -298,7 +298,7 @@
 		c.count.Add(countFailed, 1)
 	}
 	if c.d.Heard != nil && (res.OK || res.Limit.Named || res.Rest > 0) {
-		c.d.Heard(cand.Service, cand.Target, targetapi.Signals{Leaving: res.Leaving, Limit: res.Limit, Rest: res.Rest})
+		c.d.Heard(cand.Service, cand.Target, targetapi.Signals{Leaving: res.Leaving, Limit: res.Limit, RetryAfter: res.Rest})
 	}
 	if res.Leaving {
 		c.count.Add(countLeaving, 1)
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -162,7 +162,7 @@
 	a.status = resp.StatusCode
 	d.hear(c, a, req, resp)
 	switch {
-	case !ct.Belongs(req.Header, resp.Header, resp.StatusCode):
+	case !ct.IsAnswerTo(req.Header, resp.Header, resp.StatusCode):
 		// The target answered an earlier request a second time, and this answer
 		// stands where the one to this request is due. Nothing on the connection
 		// can be told apart any more.
@@ -172,7 +172,7 @@
 		a.discard(resp, a.class)
 	case ct.IsShed(resp.StatusCode, resp.Header):
 		a.shed(resp)
-	case !ct.Sealed(resp.Header), ct.Promises(resp.StatusCode):
+	case !ct.HasSeal(resp.Header), ct.IsNotRunStatus(resp.StatusCode):
 		// An answer that no target vouches for, or a status that callers would
 		// take for the promise that the request was not run.
 		d.foreign(a, resp)
@@ -185,7 +185,7 @@
 // target that has the address by now, nor bytes that belong to no request, speak for it.
 func (d *Dispatcher) hear(c *Call, a *attempt, req *http.Request, resp *http.Response) {
 	ct := d.contract
-	if ct.IsMisdirected(resp.StatusCode) || !ct.Belongs(req.Header, resp.Header, resp.StatusCode) {
+	if ct.IsMisdirected(resp.StatusCode) || !ct.IsAnswerTo(req.Header, resp.Header, resp.StatusCode) {
 		return
 	}
 	a.said = ct.Signals(resp.StatusCode, resp.Header)
@@ -261,7 +261,7 @@
 	}
 	if a.said.HasLoad {
 		rep.Load = a.said.Load.Running + a.said.Load.Waiting
-		rep.Work = a.said.Load
+		rep.TargetLoad = a.said.Load
 	}
 	rep.LeavingHint = a.said.Leaving
 	a.tellWatch(class)
--- a/dispatch/contract_test.go
+++ b/dispatch/contract_test.go
@@ -22,7 +22,7 @@
 	return &targetapi.Contract{
 		RequestID: "Id", Timeout: "Left", Target: "For", Seal: "Seal", Shed: "Not-Run", Load: "Load",
 		ReadLoad:        func(string) (targetapi.Load, bool) { return targetapi.Load{}, false },
-		PromiseStatuses: []int{http.StatusTooManyRequests, http.StatusServiceUnavailable},
+		NotRunStatuses: []int{http.StatusTooManyRequests, http.StatusServiceUnavailable},
 	}
 }
 
@@ -148,7 +148,7 @@
 	promises := testContract()
 	for _, reason := range outcome.Reasons() {
 		status := outcome.Uncertain(reason).Status()
-		assert.Check(t, !promises.Promises(status), "unknown, %s: %d", reason, status)
+		assert.Check(t, !promises.IsNotRunStatus(status), "unknown, %s: %d", reason, status)
 		status = outcome.Refuse(reason).Status()
 		assert.Check(t, status != http.StatusBadGateway && status != http.StatusGatewayTimeout, "not-run, %s: %d", reason, status)
 	}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -26,7 +26,7 @@
 	// Contract names the headers; nil stands for targetapi.Default.
 	Contract *targetapi.Contract
 	// Heard, if set, is told what targets say of themselves in their answers.
-	Heard pick.Listener
+	Heard pick.SignalHandler
 	// Retries pays for further attempts; nil stands for the ratio that each
 	// workspace declares.
 	Retries RetryBudget
@@ -62,7 +62,7 @@
 	suspects Quarantine
 	metrics  *metrics.Set
 	contract *targetapi.Contract
-	heard    pick.Listener
+	heard    pick.SignalHandler
 	retries  RetryBudget
 
 	held *heldAnswers
--- a/dispatch/fakes_test.go
+++ b/dispatch/fakes_test.go
@@ -53,7 +53,7 @@
 }
 
 // Basis implements pick.Explained.
-func (g *fakeGrant) Basis() pick.Basis { return pick.Basis{Silent: g.picker.silent} }
+func (g *fakeGrant) Basis() pick.Basis { return pick.Basis{LoadUnreported: g.picker.silent} }
 
 func (g *fakeGrant) Target() blackboard.Target { return blackboard.Target{ID: g.id} }
 
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -86,8 +86,8 @@
 	if d.retries == nil {
 		return c.Workspace.HedgeRatio > 0
 	}
-	g, ok := s.grant.(pick.Explained)
-	return ok && g.Basis().Silent
+	g, ok := s.grant.(pick.Explainer)
+	return ok && g.Basis().LoadUnreported
 }
 
 // hedged sends the first attempt from this goroutine, so that a call whose answer
--- a/dispatch/history.go
+++ b/dispatch/history.go
@@ -96,7 +96,7 @@
 		MayHaveRun: a.mayHaveRun,
 		Took:       time.Since(a.start),
 	}
-	if g, ok := a.grant.(pick.Explained); ok {
+	if g, ok := a.grant.(pick.Explainer); ok {
 		r.Basis = g.Basis()
 	}
 	return r
--- a/edge/provision.go
+++ b/edge/provision.go
@@ -132,7 +132,7 @@
 		Metrics:   d.metrics,
 		Log:       d.log,
 		OnLeaving: d.markLeaving,
-		Heard:     d.heard,
+		OnSignals:     d.heard,
 	})
 	d.provisionPicker()
 	d.provisionCallers()
--- a/edge/quota.go
+++ b/edge/quota.go
@@ -53,7 +53,7 @@
 
 // heard takes in what a target says of itself.
 func (d *Daemon) heard(key blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
-	d.picker.Heard(key, t, s)
+	d.picker.HandleSignals(key, t, s)
 }
 
 func (d *Daemon) quotaTolerance() policy.Tolerance {
--- a/entry/call.go
+++ b/entry/call.go
@@ -268,7 +268,7 @@
 	h := w.Header()
 	setOutcome(h, r)
 	if r.RetryAfter > 0 {
-		h.Set("Retry-After", s.deps.Contract.RetryAfter(r.RetryAfter))
+		h.Set("Retry-After", s.deps.Contract.FormatRetryAfter(r.RetryAfter))
 	}
 	text := r.Outcome.String() + " " + string(r.Reason) + "\n"
 	h.Set("Content-Type", "text/plain; charset=utf-8")
--- a/internal/bench/choose/real_test.go
+++ b/internal/bench/choose/real_test.go
@@ -46,7 +46,7 @@
 // realRun is a run of the real pickers.
 type realRun struct {
 	c       Case
-	pickers []*slots.Slots
+	pickers []*slots.Picker
 	boards  []*blackboard.Board
 	targets map[ports.HostID]chan struct{} // slots of each
 	listed  []blackboard.Target
--- a/pick/pick.go
+++ b/pick/pick.go
@@ -47,8 +47,8 @@
 	Pick(ctx context.Context, req Request) (Grant, outcome.Result)
 }
 
-// Listener takes in what a target of a service says of itself. It must not block.
-type Listener func(service blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals)
+// SignalHandler takes in what a target of a service says of itself. It must not block.
+type SignalHandler func(service blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals)
 
 // Grant is the right to send one attempt to one target.
 type Grant interface {
@@ -63,8 +63,8 @@
 	// times, and Age how old the target's own word was.
 	Cost float64
 	Age  time.Duration
-	// Silent is set if the targets of the service tell nothing of their load.
-	Silent bool
+	// LoadUnreported is set if the targets of the service tell nothing of their load.
+	LoadUnreported bool
 	// Cold is set if the target was taken for cold, or may have been, and says what that
 	// rested on.
 	Cold string
@@ -77,8 +77,8 @@
 	Waited time.Duration
 }
 
-// Explained is a grant that tells what it rested on.
-type Explained interface {
+// Explainer is a grant that tells what it rested on.
+type Explainer interface {
 	Basis() Basis
 }
 
@@ -117,9 +117,9 @@
 	// Load is the target's own report of its calls in flight and queued, from
 	// its answer; it is stale by the time it is read. Negative means none.
 	Load int
-	// Work is the report in full, if the target tells that much; Slots is 0 if
+	// TargetLoad is the report in full, if the target tells that much; Slots is 0 if
 	// not.
-	Work targetapi.Load
+	TargetLoad targetapi.Load
 	// LeavingHint is set if the answer said that the target is draining.
 	LeavingHint bool
 }
--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -44,7 +44,7 @@
 	s := p.service(key)
 	s.refresh(time.Now())
 	for _, t := range s.targets {
-		s.told(time.Now().Add(time.Hour), t, targetapi.Load{Slots: 2, Pace: 1})
+		s.told(time.Now().Add(time.Hour), t, targetapi.Load{Slots: 2, Slowdown: 1})
 	}
 	ctx := context.Background()
 	b.ReportAllocs()
--- a/placer/cold_test.go
+++ b/placer/cold_test.go
@@ -145,7 +145,7 @@
 		return false
 	}
 	l.targets[g.Target().ID].run()
-	g.Release(pick.Report{Class: pick.OK, Latency: time.Since(now), Work: targetapi.Load{Slots: 2, Pace: 1}})
+	g.Release(pick.Report{Class: pick.OK, Latency: time.Since(now), TargetLoad: targetapi.Load{Slots: 2, Slowdown: 1}})
 	return true
 }
 
@@ -299,7 +299,7 @@
 	s := &service{targets: map[ports.HostID]*target{"a": tg}, limits: coldLimits{warmUp: coldFor, perSecond: coldRate}}
 	tg.unreachable(now)
 	tg.probing = make(chan struct{})
-	news := s.answered(tg, answer{reached: true, said: targetapi.Signals{HasLoad: true, Load: targetapi.Load{Slots: 2, Pace: 1}, WarmUp: time.Second}}, time.Millisecond)
+	news := s.answered(tg, answer{reached: true, said: targetapi.Signals{HasLoad: true, Load: targetapi.Load{Slots: 2, Slowdown: 1}, WarmUp: time.Second}}, time.Millisecond)
 	assert.Equal(t, news, newsCold)
 	assert.Equal(t, tg.rests, 0)
 	assert.Check(t, tg.cold.Cold(time.Now()) && tg.cold.Certain())
@@ -319,7 +319,7 @@
 			seen := make(map[string]int)
 			for _, p := range l.placers {
 				if g, _ := p.Pick(t.Context(), pick.Request{Service: restartKey}); g != nil {
-					seen[g.(pick.Explained).Basis().Cold]++
+					seen[g.(pick.Explainer).Basis().Cold]++
 				}
 			}
 			assert.Equal(t, len(seen), 1, "%v", seen)
--- a/placer/evacuation_test.go
+++ b/placer/evacuation_test.go
@@ -34,7 +34,7 @@
 	now := time.Now()
 	s.refresh(now)
 	for _, t := range s.list {
-		s.told(now, t, targetapi.Load{Slots: 2, Pace: 1})
+		s.told(now, t, targetapi.Load{Slots: 2, Slowdown: 1})
 	}
 }
 
--- a/placer/overload_test.go
+++ b/placer/overload_test.go
@@ -79,7 +79,7 @@
 func readSimLoad(value string) (targetapi.Load, bool) {
 	var l targetapi.Load
 	_, err := fmt.Sscanf(value, "%d,%d", &l.Running, &l.Waiting)
-	l.Slots, l.Pace = simSlots, 1
+	l.Slots, l.Slowdown = simSlots, 1
 	return l, err == nil
 }
 
@@ -152,7 +152,7 @@
 				if g != nil {
 					start := time.Now()
 					work := targets[g.Target().ID].run()
-					g.Release(pick.Report{Class: pick.OK, Latency: time.Since(start), Work: work})
+					g.Release(pick.Report{Class: pick.OK, Latency: time.Since(start), TargetLoad: work})
 				}
 				mu.Lock()
 				defer mu.Unlock()
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -44,8 +44,8 @@
 	// OnLeaving, if set, is called when a target's own answer said that it is
 	// leaving. It must not block.
 	OnLeaving func(blackboard.ServiceKey, blackboard.Target)
-	// Heard, if set, is told what targets say of themselves in answers to probes.
-	Heard pick.Listener
+	// OnSignals, if set, is told what targets say of themselves in answers to probes.
+	OnSignals pick.SignalHandler
 }
 
 // Placer is the pick.Picker of one daemon.
@@ -177,7 +177,7 @@
 	if t.info.Evacuated {
 		invariant.Check(false, invariant.EvacuatedIdle, "%s", t.info.Run())
 	}
-	basis := pick.Basis{Cost: cost, Age: t.figures.Age(now), Silent: s.isSilent()}
+	basis := pick.Basis{Cost: cost, Age: t.figures.Age(now), LoadUnreported: s.isSilent()}
 	if s.limited(now, t) {
 		s.quotaOf(t).Take(now)
 		p.count.coldCalls.Add(1)
@@ -236,8 +236,8 @@
 // in what this host believes. The service's lock is held.
 func (p *Placer) learn(now time.Time, h *held, r pick.Report) (news string) {
 	s := h.service
-	if r.Work.Slots > 0 {
-		s.told(now, h.target, r.Work)
+	if r.TargetLoad.Slots > 0 {
+		s.told(now, h.target, r.TargetLoad)
 	}
 	news = h.target.end(now, r)
 	switch r.Class {
--- a/placer/probe.go
+++ b/placer/probe.go
@@ -95,8 +95,8 @@
 	defer cancel()
 	sent := time.Now()
 	a := p.exchange(ctx, info, path, conns)
-	if a.reached && !a.other && p.deps.Heard != nil {
-		p.deps.Heard(s.key, info, a.said)
+	if a.reached && !a.other && p.deps.OnSignals != nil {
+		p.deps.OnSignals(s.key, info, a.said)
 	}
 	p.tell(s.answered(t, a, time.Since(sent)), s, info.Run())
 	if !a.reached {
--- a/placer/replaced_probe_test.go
+++ b/placer/replaced_probe_test.go
@@ -28,7 +28,7 @@
 	tg := l.list(100, false)
 	l.p.deps.Upstream = successor{}
 	l.p.deps.Contract = &targetapi.Contract{Instance: "Instance", Load: "Load", ReadLoad: readSimLoad, Limit: "Limit"}
-	l.p.deps.Heard = func(blackboard.ServiceKey, blackboard.Target, targetapi.Signals) { t.Error("heard") }
+	l.p.deps.OnSignals = func(blackboard.ServiceKey, blackboard.Target, targetapi.Signals) { t.Error("heard") }
 	tg.probing = make(chan struct{})
 	l.p.probeTarget(l.p.service(restartKey), tg, tg.info, "/h", 1)
 	assert.Check(t, tg.figures.At.IsZero(), "no load was told")
--- a/placer/restart_test.go
+++ b/placer/restart_test.go
@@ -71,7 +71,7 @@
 	assert.Check(t, next.open(now))
 	assert.Equal(t, next.figures.InFlight, 0)
 	assert.Check(t, next.figures.At.IsZero())
-	call.Release(pick.Report{Class: pick.BrokeOff, Work: targetapi.Load{Running: 9, Slots: 2, Pace: 7}})
+	call.Release(pick.Report{Class: pick.BrokeOff, TargetLoad: targetapi.Load{Running: 9, Slots: 2, Slowdown: 7}})
 	assert.Equal(t, next.figures.InFlight, 0)
 	assert.Check(t, next.figures.At.IsZero(), "a late answer told of the former run")
 	assert.Check(t, next.open(now))
--- a/placer/service_test.go
+++ b/placer/service_test.go
@@ -15,7 +15,7 @@
 // fullTarget told a moment ago that calls wait there.
 func fullTarget(id ports.HostID, now time.Time) *target {
 	t := silentTarget(id)
-	t.figures.Told(now, targetapi.Load{Running: 2, Waiting: 2, Slots: 2, Pace: 1})
+	t.figures.Told(now, targetapi.Load{Running: 2, Waiting: 2, Slots: 2, Slowdown: 1})
 	return t
 }
 
--- a/placer/silent_test.go
+++ b/placer/silent_test.go
@@ -37,6 +37,6 @@
 	assert.Check(t, !s.isSilent())
 	s.answeredSilently(now, target, time.Millisecond)
 	assert.Check(t, s.isSilent())
-	s.told(now, target, targetapi.Load{Slots: 2, Pace: 1})
+	s.told(now, target, targetapi.Load{Slots: 2, Slowdown: 1})
 	assert.Check(t, !s.isSilent())
 }
--- a/policy/placing/placing.go
+++ b/policy/placing/placing.go
@@ -61,7 +61,7 @@
 // hosts.
 func (u *Usual) Learn(l targetapi.Load, others, slots int) {
 	u.Share += learnWeight * (float64(others)/float64(slots) - u.Share)
-	u.Pace += learnWeight * (l.Pace - u.Pace)
+	u.Pace += learnWeight * (l.Slowdown - u.Pace)
 }
 
 // Figures are what is known of a target.
@@ -129,7 +129,7 @@
 // the usual one.
 func (f *Figures) pace(age time.Duration) float64 {
 	t := trust(age, paceFor)
-	return t*f.Load.Pace + (1-t)*f.Usual.Pace
+	return t*f.Load.Slowdown + (1-t)*f.Usual.Pace
 }
 
 // Full reports whether the target may not be able to queue one more call.
--- a/policy/placing/placing_test.go
+++ b/policy/placing/placing_test.go
@@ -14,7 +14,7 @@
 // told is a target of four slots that told its load just now.
 func told(running, waiting int, pace float64) Figures {
 	f := Figures{Slots: 4, Usual: NewUsual()}
-	f.Told(now, targetapi.Load{Running: running, Waiting: waiting, Slots: 4, Pace: pace})
+	f.Told(now, targetapi.Load{Running: running, Waiting: waiting, Slots: 4, Slowdown: pace})
 	return f
 }
 
@@ -50,8 +50,8 @@
 func TestSilentTargetsAreTakenForUsual(t *testing.T) {
 	near, far := NewUsual(), NewUsual()
 	for range 500 {
-		near.Learn(targetapi.Load{Running: 4, Waiting: 9, Pace: 1}, 13, 4)
-		far.Learn(targetapi.Load{Running: 1, Pace: 1}, 1, 4)
+		near.Learn(targetapi.Load{Running: 4, Waiting: 9, Slowdown: 1}, 13, 4)
+		far.Learn(targetapi.Load{Running: 1, Slowdown: 1}, 1, 4)
 	}
 	silentNear := Figures{Slots: 4, Usual: near}
 	silentFar := Figures{Slots: 4, Usual: far, Far: true}
@@ -76,7 +76,7 @@
 // the rest stands for the calls of others.
 func TestOwnCallsAreCountedOffAsTheyEnd(t *testing.T) {
 	f := Figures{Slots: 4, Usual: NewUsual(), InFlight: 3}
-	f.Told(now, targetapi.Load{Running: 4, Waiting: 1, Slots: 4, Pace: 1})
+	f.Told(now, targetapi.Load{Running: 4, Waiting: 1, Slots: 4, Slowdown: 1})
 	full := f.Cost(now, Way(5000))
 	assert.Equal(t, f.Others, 2)
 	f.InFlight = 0
--- a/policy/placing/silent.go
+++ b/policy/placing/silent.go
@@ -45,7 +45,7 @@
 // would: that a slot was free, and the pace. The pace is not learned from calls, whose work
 // differs from one to the next.
 func (f *Figures) Answered(now time.Time, took, usual time.Duration) targetapi.Load {
-	l := targetapi.Load{Running: f.InFlight, Pace: max(1, float64(took)/float64(max(usual, leastUsual)))}
+	l := targetapi.Load{Running: f.InFlight, Slowdown: max(1, float64(took)/float64(max(usual, leastUsual)))}
 	f.Told(now, l)
 	return l
 }
--- a/probesource.go
+++ b/probesource.go
@@ -10,7 +10,7 @@
 )
 
 // probeSource lets the prober ask the coordinator which targets to probe.
-type probeSource struct{ slots *slots.Slots }
+type probeSource struct{ slots *slots.Picker }
 
 var _ probes.Source = probeSource{}
 
@@ -27,5 +27,5 @@
 // Probed implements probes.Source. The latency of a probe says little of that of
 // calls, so it is left out.
 func (p probeSource) Probed(key blackboard.ServiceKey, id ports.HostID, ok bool, load int, _ time.Duration) {
-	p.slots.Probed(key, id, ok, load)
+	p.slots.RecordProbe(key, id, ok, load)
 }
--- a/provision.go
+++ b/provision.go
@@ -222,7 +222,7 @@
 		Prober:  prober,
 		Leaving: d.markLeaving,
 		Heard:   d.heard,
-		Resting: d.picker.Resting,
+		Resting: d.picker.BackedOff,
 		Metrics: d.metrics,
 		Log:     d.log,
 	})
@@ -269,7 +269,7 @@
 
 // heard takes in what a target says of itself.
 func (d *Daemon) heard(key blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
-	d.picker.Heard(key, t, s)
+	d.picker.HandleSignals(key, t, s)
 }
 
 // markLeaving notes that a target's own answer said that it is to stop; the
--- a/slots/cluster_test.go
+++ b/slots/cluster_test.go
@@ -32,7 +32,7 @@
 type testHost struct {
 	id    ports.HostID
 	board *blackboard.Board
-	slots *Slots
+	slots *Picker
 	m     *metrics.Set
 }
 
--- a/slots/messages.go
+++ b/slots/messages.go
@@ -43,7 +43,7 @@
 // none is the reply to a notification.
 type none struct{}
 
-func (s *Slots) send(o outbox) {
+func (s *Picker) send(o outbox) {
 	for _, f := range o.frames {
 		s.notify(f.to, kindFrame, f.frame)
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-func (s *Slots) notify(to ports.HostID, kind peer.Kind, msg any) {
+func (s *Picker) notify(to ports.HostID, kind peer.Kind, msg any) {
 	if !peer.Notify(s.deps.Link, to, kind, msg) {
 		s.count.dropped.Add(1)
 	}
@@ -68,21 +68,21 @@
 
 // onFrame takes what an entry host tells this host as coordinator. A service
 // that is not declared here gets no answer: the asking host then chooses alone.
-func (s *Slots) onFrame(_ context.Context, from peer.HostID, f grant.Frame) (none, error) {
+func (s *Picker) onFrame(_ context.Context, from peer.HostID, f grant.Frame) (none, error) {
 	if svc := s.service(f.Service); svc != nil {
 		svc.do(func(now time.Time) { svc.coordinator.Receive(now, from, f) })
 	}
 	return none{}, nil
 }
 
-func (s *Slots) onTell(_ context.Context, from peer.HostID, t grant.Tell) (none, error) {
+func (s *Picker) onTell(_ context.Context, from peer.HostID, t grant.Tell) (none, error) {
 	if svc := s.service(t.Service); svc != nil {
 		svc.do(func(now time.Time) { svc.session.Told(now, from, t) })
 	}
 	return none{}, nil
 }
 
-func (s *Slots) onOverdue(_ context.Context, _ peer.HostID, n overdueNotice) (none, error) {
+func (s *Picker) onOverdue(_ context.Context, _ peer.HostID, n overdueNotice) (none, error) {
 	if svc := s.service(n.Service); svc != nil {
 		svc.do(func(now time.Time) { svc.session.Overdue(now, n.Targets) })
 	}
--- a/slots/metrics.go
+++ b/slots/metrics.go
@@ -43,7 +43,7 @@
 	ExpectedWait time.Duration `json:"expected_wait_ns"`
 }
 
-func (s *Slots) state() any {
+func (s *Picker) state() any {
 	out := make(map[string]ServiceState)
 	now := time.Now()
 	for key, svc := range *s.services.Load() {
--- a/slots/probe.go
+++ b/slots/probe.go
@@ -15,7 +15,7 @@
 
 // Stale returns the targets worth a probe: those of services that this host
 // coordinates which had no call for a while, or are ejected.
-func (s *Slots) Stale(now time.Time) []StaleTarget {
+func (s *Picker) Stale(now time.Time) []StaleTarget {
 	var out []StaleTarget
 	members := s.deps.Board.Members.Load()
 	for key, list := range s.deps.Board.Targets.Load().ByService {
@@ -46,9 +46,9 @@
 	return out
 }
 
-// Probed takes the result of a probe; a negative load means that none was
+// RecordProbe takes the result of a probe; a negative load means that none was
 // reported. A bad answer alone never ejects a target.
-func (s *Slots) Probed(key blackboard.ServiceKey, id ports.HostID, ok bool, load int) {
+func (s *Picker) RecordProbe(key blackboard.ServiceKey, id ports.HostID, ok bool, load int) {
 	if svc := s.service(key); svc != nil {
 		svc.do(func(now time.Time) { svc.coordinator.Probed(now, id, ok, load) })
 	}
--- a/slots/service.go
+++ b/slots/service.go
@@ -27,7 +27,7 @@
 // when it is coordinator. The lock is held for computing only, never while a
 // message is sent.
 type service struct {
-	owner *Slots
+	owner *Picker
 	key   blackboard.ServiceKey
 
 	mu          sync.Mutex
@@ -55,7 +55,7 @@
 	decision session.Decision
 }
 
-func newService(s *Slots, key blackboard.ServiceKey, seed uint64) *service {
+func newService(s *Picker, key blackboard.ServiceKey, seed uint64) *service {
 	return &service{
 		owner:       s,
 		key:         key,
--- a/slots/slots.go
+++ b/slots/slots.go
@@ -48,8 +48,8 @@
 	OnLeaving func(blackboard.ServiceKey, ports.HostID)
 }
 
-// Slots is the pick.Picker of one daemon.
-type Slots struct {
+// Picker is the pick.Picker of one daemon.
+type Picker struct {
 	deps  Deps
 	self  ports.HostID
 	epoch uint64
@@ -61,11 +61,11 @@
 	closed   atomic.Bool
 }
 
-var _ pick.Picker = (*Slots)(nil)
+var _ pick.Picker = (*Picker)(nil)
 
 // New returns a picker and registers its messages with the link.
-func New(d Deps) *Slots {
-	s := &Slots{
+func New(d Deps) *Picker {
+	s := &Picker{
 		deps:  d,
 		self:  d.Link.Self(),
 		epoch: uint64(time.Now().UnixNano()),
@@ -82,7 +82,7 @@
 }
 
 // Close stops all timers. Waiting picks end with their contexts.
-func (s *Slots) Close() {
+func (s *Picker) Close() {
 	s.closed.Store(true)
 	for _, svc := range *s.services.Load() {
 		svc.stop()
@@ -90,7 +90,7 @@
 }
 
 // service returns the state of a service, or nil if it is not declared.
-func (s *Slots) service(key blackboard.ServiceKey) *service {
+func (s *Picker) service(key blackboard.ServiceKey) *service {
 	if svc := (*s.services.Load())[key]; svc != nil {
 		return svc
 	}
@@ -110,7 +110,7 @@
 	return svc
 }
 
-func (s *Slots) declared(key blackboard.ServiceKey) bool {
+func (s *Picker) declared(key blackboard.ServiceKey) bool {
 	ws, ok := s.deps.Board.Config.Load().Workspace(key.Workspace)
 	if !ok {
 		return false
@@ -120,7 +120,7 @@
 }
 
 // Pick waits for a target until ctx ends.
-func (s *Slots) Pick(ctx context.Context, req pick.Request) (pick.Grant, outcome.Result) {
+func (s *Picker) Pick(ctx context.Context, req pick.Request) (pick.Grant, outcome.Result) {
 	svc := s.service(req.Service)
 	if svc == nil {
 		return nil, s.refuse(outcome.ReasonNoRoute)
@@ -143,7 +143,7 @@
 	return &held{service: svc, id: d.ID, target: d.Target}, outcome.Result{}
 }
 
-func (s *Slots) refuse(r outcome.Reason) outcome.Result {
+func (s *Picker) refuse(r outcome.Reason) outcome.Result {
 	s.count.refused.Add(string(r), 1)
 	return outcome.Refuse(r)
 }
--- a/slots/slots_test.go
+++ b/slots/slots_test.go
@@ -203,7 +203,7 @@
 		time.Sleep(2 * time.Second)
 		assert.Equal(t, len(c.hosts[1].slots.Stale(time.Now())), 0)
 		assert.Equal(t, len(c.hosts[0].slots.Stale(time.Now())), 2)
-		c.hosts[0].slots.Probed(bids, "t00", true, 0)
+		c.hosts[0].slots.RecordProbe(bids, "t00", true, 0)
 		assert.Equal(t, len(c.hosts[0].slots.Stale(time.Now())), 1)
 		g, _ := c.hosts[1].pickFor(time.Second, pick.Request{Avoid: []ports.HostID{"t00"}})
 		g.Release(pick.Report{Class: pick.OK, Latency: time.Millisecond, Load: -1})
--- a/targetapi/contract.go
+++ b/targetapi/contract.go
@@ -47,15 +47,15 @@
 	// WarmUp tells in a health answer how much longer the target is cold, as a number with
 	// its unit.
 	WarmUp string
-	// Own are headers of cactusproxy's own that are passed on neither way.
-	Own []string
+	// InternalHeaders are headers of cactusproxy's own that are passed on neither way.
+	InternalHeaders []string
 	// Forwarded adds X-Forwarded-For and X-Forwarded-Proto for targets.
 	Forwarded bool
 	// FractionalRetryAfter lets Retry-After carry fractions of a second.
 	FractionalRetryAfter bool
-	// PromiseStatuses are taken by callers for the promise that a request was not
+	// NotRunStatuses are taken by callers for the promise that a request was not
 	// run, whoever sends them.
-	PromiseStatuses []int
+	NotRunStatuses []int
 }
 
 // Load is what a target tells of itself.
@@ -63,8 +63,8 @@
 	// Running and Waiting are requests at the target, Slots how many it runs at
 	// once; Slots is 0 if it does not tell.
 	Running, Waiting, Slots int
-	// Pace is how long work takes there at the moment, 1 being as usual.
-	Pace float64
+	// Slowdown is how long work takes there at the moment, 1 being as usual.
+	Slowdown float64
 }
 
 // Default is the contract of headers.go.
@@ -79,7 +79,7 @@
 		Limit:      HeaderLimit,
 		Load:       HeaderLoad,
 		ReadLoad:   readDefaultLoad,
-		Own:        []string{HeaderLoad, HeaderShed, HeaderLeaving, HeaderLimit},
+		InternalHeaders:        []string{HeaderLoad, HeaderShed, HeaderLeaving, HeaderLimit},
 		Forwarded:  true,
 	}
 }
@@ -89,7 +89,7 @@
 	if err != nil || n < 0 {
 		return Load{}, false
 	}
-	return Load{Running: n, Pace: 1}, true
+	return Load{Running: n, Slowdown: 1}, true
 }
 
 // IsShed reports whether an answer says that the target did not run the request.
@@ -115,9 +115,9 @@
 	return from == "" || from == target
 }
 
-// Belongs reports whether an answer is one to the request with these headers.
+// IsAnswerTo reports whether an answer is one to the request with these headers.
 // A refusal may lack the echo: some targets refuse before they read the header.
-func (c *Contract) Belongs(request, answer http.Header, status int) bool {
+func (c *Contract) IsAnswerTo(request, answer http.Header, status int) bool {
 	if c.RequestID == "" {
 		return true
 	}
@@ -133,16 +133,16 @@
 	return c.IsMisdirected(status) || c.IsShed(status, h)
 }
 
-// Sealed reports whether an answer, of whatever status, comes from a target that ran the
+// HasSeal reports whether an answer, of whatever status, comes from a target that ran the
 // request.
-func (c *Contract) Sealed(h http.Header) bool {
+func (c *Contract) HasSeal(h http.Header) bool {
 	return c.Seal == "" || h.Get(c.Seal) != ""
 }
 
-// Promises reports whether callers take a status for the promise that the
+// IsNotRunStatus reports whether callers take a status for the promise that the
 // request was not run.
-func (c *Contract) Promises(status int) bool {
-	for _, s := range c.PromiseStatuses {
+func (c *Contract) IsNotRunStatus(status int) bool {
+	for _, s := range c.NotRunStatuses {
 		if s == status {
 			return true
 		}
@@ -155,13 +155,13 @@
 // signal of the target behind it would then say of the caller's own request
 // that it was not run.
 func (c *Contract) Strip(h http.Header) {
-	for _, name := range c.Own {
+	for _, name := range c.InternalHeaders {
 		h.Del(name)
 	}
 }
 
-// RetryAfter writes a time for the header Retry-After.
-func (c *Contract) RetryAfter(d time.Duration) string {
+// FormatRetryAfter writes a time for the header Retry-After.
+func (c *Contract) FormatRetryAfter(d time.Duration) string {
 	if c.FractionalRetryAfter {
 		return strconv.FormatFloat(d.Seconds(), 'f', 2, 64)
 	}
--- a/targetapi/signals.go
+++ b/targetapi/signals.go
@@ -17,8 +17,8 @@
 	// Leaving is set if the target is to stop.
 	Leaving bool
 	Limit   Limit
-	// Rest is how long the target wants nothing from this host; 0 if it does not say.
-	Rest time.Duration
+	// RetryAfter is how long the target wants nothing from this host; 0 if it does not say.
+	RetryAfter time.Duration
 }
 
 // Limit is how many requests a target takes from all hosts together. The zero value is none.
@@ -34,7 +34,7 @@
 	s.WarmUp = c.warmUpOf(h)
 	s.Leaving = c.Leaving != "" && h.Get(c.Leaving) == Yes
 	s.Limit = c.limitOf(h)
-	s.Rest = restOf(status, h)
+	s.RetryAfter = restOf(status, h)
 	return s
 }
 
--- a/targetapi/signals_test.go
+++ b/targetapi/signals_test.go
@@ -36,7 +36,7 @@
 		{200, "3", 0},
 		{429, "3", 0},
 	} {
-		got := Default().Signals(c.status, http.Header{"Retry-After": {c.value}}).Rest
+		got := Default().Signals(c.status, http.Header{"Retry-After": {c.value}}).RetryAfter
 		assert.Equal(t, got, c.want, "%d %q", c.status, c.value)
 	}
 }
