--- a/placer/bench_test.go
+++ b/placer/bench_test.go
@@ -19,14 +19,14 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// unasked fails the benchmark's probes; all figures are fresh enough.
-type unasked struct{}
+// failingUpstream fails all probes; the benchmark needs none, since all load reports are fresh.
+type failingUpstream struct{}
 
-func (unasked) RoundTrip(*http.Request, blackboard.Target, upstream.SendOptions) upstream.Result {
+func (failingUpstream) RoundTrip(*http.Request, blackboard.Target, upstream.SendOptions) upstream.Result {
 	return upstream.Result{Err: upstream.ErrConnLimit}
 }
 
-// One whole choice among 100 targets that all told something just now.
+// BenchmarkPickOf100Targets measures one choice among 100 targets with fresh load reports.
 func BenchmarkPickOf100Targets(b *testing.B) {
 	board := blackboard.New()
 	defer board.Close()
@@ -38,13 +38,13 @@
 	}
 	board.Targets.Store(list)
 	p := New(Deps{
-		Board: board, Upstream: unasked{}, Probes: NewProbeQuota(board, 0), Zone: "z0",
+		Board: board, Upstream: failingUpstream{}, Probes: NewProbeQuota(board, 0), Zone: "z0",
 		Contract: &targetapi.Contract{}, Metrics: metrics.New(), Log: zap.NewNop(),
 	})
 	s := p.service(key)
 	s.refresh(time.Now())
 	for _, t := range s.targets {
-		s.told(time.Now().Add(time.Hour), t, targetapi.Load{Slots: 2, Slowdown: 1})
+		s.recordLoad(time.Now().Add(time.Hour), t, targetapi.Load{Slots: 2, Slowdown: 1})
 	}
 	ctx := context.Background()
 	b.ReportAllocs()
--- a/placer/candidates.go
+++ b/placer/candidates.go
@@ -8,35 +8,34 @@
 	"github.com/cactusproxy/cactusproxy/policy/placing"
 )
 
-// ranked is a target with what it costs by what is remembered.
+// ranked is a target with its estimated cost before probing.
 type ranked struct {
 	*target
 	cost float64
 }
 
-// candidates are the targets that are probed for one choice: the cheapest few of this
-// host's availability zone, and after them the cheapest few of others.
+// candidates are the targets to probe for one choice: the cheapest few in this host's
+// availability zone, followed by the cheapest few in other zones.
 //
-// A probe to another zone and its answer are bytes that are paid for, and so is the
-// call itself, so that those of the own zone are probed first. As many of other zones can
-// be probed then, so that a zone that is full has somewhere to send its calls, however many
-// targets it has itself.
+// Probes and calls to another zone cost cross-zone traffic, so targets in the own zone are
+// probed first. As many targets of other zones can be probed afterwards, so that a full zone
+// can send its calls elsewhere regardless of how many targets it has itself.
 //
-// The cheapest few are kept on the way through the list: sorting it takes three times as
-// long (BenchmarkPickOf100Targets).
+// The cheapest few are selected in one pass by insertion: sorting the whole list takes three
+// times as long (BenchmarkPickOf100Targets).
 type candidates struct {
 	list      [2 * placing.ProbeWidth]ranked
 	near, far int
-	// coldSpent is how many targets were left out since they are cold and this host's part
-	// of their calls is used up.
-	coldSpent int
+	// coldOverQuota is the number of targets that were skipped because they are cold and this
+	// host's quota of calls to them is used up.
+	coldOverQuota int
 }
 
-// first returns those of the own zone, all those of other zones, too.
-func (c *candidates) first() []ranked { return c.list[:c.near] }
-func (c *candidates) all() []ranked   { return c.list[:c.near+c.far] }
+// sameZone returns the candidates in this host's zone; all returns those in every zone.
+func (c *candidates) sameZone() []ranked { return c.list[:c.near] }
+func (c *candidates) all() []ranked      { return c.list[:c.near+c.far] }
 
-// add takes in a target if it is one of the cheapest of its kind.
+// add inserts a target if it is among the cheapest width targets of its zone group.
 func (c *candidates) add(r ranked, width int) {
 	if r.figures.Far {
 		c.far = insert(c.list[placing.ProbeWidth:placing.ProbeWidth+width], c.far, r)
@@ -45,13 +44,13 @@
 	c.near = insert(c.list[:width], c.near, r)
 }
 
-// join puts the targets of other zones right behind those of the own one.
-func (c *candidates) join() {
+// compact moves the targets of other zones directly behind those of the own zone.
+func (c *candidates) compact() {
 	copy(c.list[c.near:], c.list[placing.ProbeWidth:placing.ProbeWidth+c.far])
 }
 
-// insert puts a target in its place among the n cheapest, of which as many are kept as
-// there is room for, and returns how many there are then.
+// insert inserts r into the n cheapest targets at the start of best, which is sorted by cost.
+// At most len(best) are kept. It returns the new count.
 func insert(best []ranked, n int, r ranked) int {
 	if n == len(best) && r.cost >= best[n-1].cost {
 		return n
@@ -67,30 +66,31 @@
 	return n
 }
 
-// tieBreak is the most by which chance moves a cost: it keeps hosts from preferring the
-// same of many equals.
-const tieBreak = 0.1
+// maxTieBreak is the upper bound of the random cost added to each target. It keeps hosts from
+// all preferring the same one of several equal targets.
+const maxTieBreak = 0.1
 
-// candidates returns the targets that may take a call. Blind is set while the host may not
-// probe. The lock is held.
-func (s *service) candidates(now time.Time, req pick.Request, width int, blind bool) (c candidates) {
-	way := placing.Way(req.Bytes)
+// candidates returns the targets that may take a call. probesExhausted is set while the host
+// can hardly probe. The caller holds the lock.
+func (s *service) candidates(now time.Time, req pick.Request, width int, probesExhausted bool) (c candidates) {
+	zoneCost := placing.Way(req.Bytes)
 	for _, t := range s.list {
-		if !t.open(now) || slices.Contains(req.Avoid, t.info.ID) || !s.regions.Allow(t.info.Zone, req.Regions) {
+		if !t.available(now) || slices.Contains(req.Avoid, t.info.ID) || !s.regions.Allow(t.info.Zone, req.Regions) {
 			continue
 		}
 		if req.Alone && t.figures.InFlight > 0 {
 			continue
 		}
-		// One of which it is not certain is probed, if that may be: it may say that it is warm.
-		if (blind || t.cold.Certain() && t.cold.Cold(now)) && s.spent(now, t) {
-			c.coldSpent++
+		// A target that is only presumed cold is still probed while probes are available: its
+		// answer may show that it is warm.
+		if (probesExhausted || t.cold.Certain() && t.cold.Cold(now)) && s.overColdQuota(now, t) {
+			c.coldOverQuota++
 			continue
 		}
 		t.figures.Cold = t.cold.Cold(now)
-		t.figures.Usual = *s.usual(t)
-		c.add(ranked{t, t.figures.Cost(now, way) + s.rng.Float64()*tieBreak}, width)
+		t.figures.Usual = *s.zoneAverages(t)
+		c.add(ranked{t, t.figures.Cost(now, zoneCost) + s.rng.Float64()*maxTieBreak}, width)
 	}
-	c.join()
+	c.compact()
 	return c
 }
--- a/placer/cold.go
+++ b/placer/cold.go
@@ -7,17 +7,19 @@
 	"github.com/cactusproxy/cactusproxy/policy/coldstart"
 )
 
-// coldLimits are what the configuration says of a service's cold targets.
+// coldLimits are the configured limits for a service's cold targets.
 type coldLimits struct {
 	warmUp time.Duration
-	// perSecond is the calls that a cold target bears from all hosts; 0 means no bound.
+	// perSecond is the rate of calls that one cold target accepts from all hosts together; 0
+	// means unlimited.
 	perSecond float64
 }
 
 func (l coldLimits) bounded() bool { return l.perSecond > 0 }
 
-// limitsOf returns the limits of a service by the configuration on a board.
-func limitsOf(board *blackboard.Board, name string) coldLimits {
+// coldLimitsOf returns the cold-start limits of a service from the routes on the board. They
+// are zero if the service is not configured.
+func coldLimitsOf(board *blackboard.Board, name string) coldLimits {
 	table := board.Routes.Load()
 	if table == nil {
 		return coldLimits{}
@@ -29,63 +31,64 @@
 	return coldLimits{warmUp: s.WarmUp, perSecond: s.ColdRate}
 }
 
-// quota is this host's part of the calls that a cold target bears, and what it was reckoned
-// from.
-type quota struct {
+// coldQuota caches this host's share of the calls to one cold target, with the inputs it was
+// computed from.
+type coldQuota struct {
 	coldstart.Quota
-	members   uint64
-	perSecond float64
-	known     bool
+	membersVersion uint64
+	perSecond      float64
+	known          bool
 }
 
-// presumeCold takes in what the platform's list says of the target's being cold, if that has
-// changed.
-func (t *target) presumeCold(now time.Time, was, is blackboard.Target, l coldLimits) {
-	if !is.WarmUntil.Equal(was.WarmUntil) {
-		t.cold.Presume(now, is.WarmUntil, coldstart.Record)
+// presumeCold updates the presumed end of the target's warm-up if the platform's entry for it
+// has changed.
+func (t *target) presumeCold(now time.Time, prev, cur blackboard.Target, l coldLimits) {
+	if !cur.WarmUntil.Equal(prev.WarmUntil) {
+		t.cold.Presume(now, cur.WarmUntil, coldstart.Record)
 	}
-	if !is.ReturnedAt.IsZero() && !is.ReturnedAt.Equal(was.ReturnedAt) {
-		t.cold.Presume(now, is.ReturnedAt.Add(l.warmUp), coldstart.Return)
+	if !cur.ReturnedAt.IsZero() && !cur.ReturnedAt.Equal(prev.ReturnedAt) {
+		t.cold.Presume(now, cur.ReturnedAt.Add(l.warmUp), coldstart.Return)
 	}
 }
 
-// hearCold takes in how much longer a target is cold by its own answer, and reports whether that
-// is news. The lock is held.
-func (s *service) hearCold(now time.Time, t *target, left time.Duration) bool {
+// recordWarmUp records the remaining warm-up time that a target reported, and reports whether
+// the target is newly known to be cold. The caller holds the lock.
+func (s *service) recordWarmUp(now time.Time, t *target, remaining time.Duration) bool {
 	if !s.limits.bounded() {
-		return false // the service's targets do not tell
+		return false // targets of the service do not report their warm-up
 	}
-	was := t.cold.Cold(now)
-	t.cold.Hear(now, left)
-	return left > 0 && !was
+	wasCold := t.cold.Cold(now)
+	t.cold.Hear(now, remaining)
+	return remaining > 0 && !wasCold
 }
 
-// quotaOf returns this host's part of a cold target's calls. The lock is held.
-func (s *service) quotaOf(t *target) coldstart.Quota {
+// coldQuotaOf returns this host's share of the calls to a cold target. It is recomputed when
+// the members or the configured rate change. The caller holds the lock.
+func (s *service) coldQuotaOf(t *target) coldstart.Quota {
 	version := s.board.Members.Version()
-	if !t.quota.known || t.quota.members != version || t.quota.perSecond != s.limits.perSecond {
+	if !t.quota.known || t.quota.membersVersion != version || t.quota.perSecond != s.limits.perSecond {
 		m := s.board.Members.Load()
-		t.quota = quota{
-			Quota:     coldstart.NewQuota(m.Self, t.info.ID, t.info.Zone, s.limits.perSecond, m.Members),
-			members:   version,
-			perSecond: s.limits.perSecond,
-			known:     true,
+		t.quota = coldQuota{
+			Quota:          coldstart.NewQuota(m.Self, t.info.ID, t.info.Zone, s.limits.perSecond, m.Members),
+			membersVersion: version,
+			perSecond:      s.limits.perSecond,
+			known:          true,
 		}
 	}
 	return t.quota.Quota
 }
 
-// limited reports whether the target is cold, or may be, and gets only so many calls. The lock is
-// held.
-func (s *service) limited(now time.Time, t *target) bool {
+// coldLimited reports whether calls to the target are rate limited because it is, or may be,
+// cold. The caller holds the lock.
+func (s *service) coldLimited(now time.Time, t *target) bool {
 	return s.limits.bounded() && !t.cold.Warm(now)
 }
 
-// spent reports whether a target may get no call from this host now since it is cold, or may be,
-// and the host's part of its calls is used up. The lock is held.
+// overColdQuota reports whether the target is, or may be, cold and this host's quota of calls
+// to it is used up. The caller holds the lock.
 //
-// Cold targets are idle, and so look best to every host at the same moment. The parts of all hosts
-// add up to what a target bears.
-func (s *service) spent(now time.Time, t *target) bool {
-	return s.limited(now, t) && !s.quotaOf(t).Has(now)
+// Cold targets are idle and therefore look cheapest to every host at the same moment. The
+// quotas of all hosts add up to the configured rate of the target.
+func (s *service) overColdQuota(now time.Time, t *target) bool {
+	return s.coldLimited(now, t) && !s.coldQuotaOf(t).Has(now)
 }
--- a/placer/cold_test.go
+++ b/placer/cold_test.go
@@ -23,44 +23,44 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// The load: a zone is taken back whose targets turned cold at that moment, and their records do
-// not say so. Hosts of two zones have calls for it.
+// Parameters of the cold-start tests: a zone's evacuation ends, its targets turned cold at that
+// moment without their list entries saying so, and hosts in two zones have calls for them.
 const (
-	coldHosts  = 40
-	coldZone   = 20 // targets of each zone
-	coldFor    = 3 * time.Second
-	coldRate   = 4.5
-	coldAtMost = 14 // calls in a second, of which a cold target bears coldRate
-	coldWork   = 60 * time.Millisecond
+	coldHosts          = 40
+	coldTargetsPerZone = 20 // targets per zone
+	coldDuration       = 3 * time.Second
+	coldRate           = 4.5
+	maxColdCalls       = 14 // most calls to a cold target in any second, for a limit of coldRate
+	coldWorkTime       = 60 * time.Millisecond
 )
 
-// coldTarget runs any number of calls, and tells how long it is cold.
+// coldTarget runs any number of calls at once and reports its remaining warm-up time.
 type coldTarget struct {
 	mu        sync.Mutex
 	running   int
 	coldUntil time.Time
-	got       []time.Time
+	calls     []time.Time
 }
 
 func (t *coldTarget) run() {
 	t.mu.Lock()
 	t.running++
-	t.got = append(t.got, time.Now())
+	t.calls = append(t.calls, time.Now())
 	t.mu.Unlock()
-	time.Sleep(coldWork)
+	time.Sleep(coldWorkTime)
 	t.mu.Lock()
 	t.running--
 	t.mu.Unlock()
 }
 
-// worst returns the most calls within a second while the target was cold.
-func (t *coldTarget) worst(from time.Time) (most int) {
-	for i, at := range t.got {
+// maxPerSecond returns the most calls within any second while the target was cold.
+func (t *coldTarget) maxPerSecond(from time.Time) (most int) {
+	for i, at := range t.calls {
 		if at.Before(from) || !at.Before(t.coldUntil) {
 			continue
 		}
 		n := 0
-		for _, other := range t.got[i:] {
+		for _, other := range t.calls[i:] {
 			if other.Sub(at) < time.Second && other.Before(t.coldUntil) {
 				n++
 			}
@@ -84,28 +84,29 @@
 	return upstream.Result{Sent: true, Response: &http.Response{StatusCode: 200, Header: h, Body: io.NopCloser(strings.NewReader(""))}}
 }
 
-// coldLab is hosts of two zones, with targets in both.
-type coldLab struct {
+// coldCluster is a set of hosts in two zones, with targets in both.
+type coldCluster struct {
 	board   *blackboard.Board
 	targets coldTargets
 	placers []*Placer
 }
 
-// newColdLab lets a target be probed so often in a second by all hosts.
-func newColdLab(t *testing.T, probes float64) *coldLab {
-	l := &coldLab{board: blackboard.New(), targets: make(coldTargets)}
+// newColdCluster returns a cluster whose hosts together may send each target the given number
+// of probes per second.
+func newColdCluster(t *testing.T, probes float64) *coldCluster {
+	l := &coldCluster{board: blackboard.New(), targets: make(coldTargets)}
 	rng := rand.New(rand.NewPCG(1, 1))
 	l.board.Routes.Store(routing.NewTable(&routing.Config{Services: []routing.Service{
-		{Name: "s", HealthPath: "/h", MaxConns: 1000, WarmUp: coldFor, ColdRate: coldRate},
+		{Name: "s", HealthPath: "/h", MaxConns: 1000, WarmUp: coldDuration, ColdRate: coldRate},
 	}}, rng))
 	var members []blackboard.Member
 	for i := range coldHosts {
 		h := ports.Host{ID: ports.HostID(fmt.Sprint("h", i)), Zone: fmt.Sprint("z", i%2)}
 		members = append(members, blackboard.Member{Host: h, State: blackboard.MemberLive, Ready: true})
 	}
-	l.list(func(*blackboard.Target) {})
+	l.setTargets(func(*blackboard.Target) {})
 	for i := range coldHosts {
-		// Each host knows itself by its own name; all share the rest of the board.
+		// Each host has a board with its own ID; the rest is the same for all.
 		own := blackboard.New()
 		own.Routes.Store(l.board.Routes.Load())
 		own.Members.Store(&blackboard.Members{Self: members[i].Host.ID, Members: members})
@@ -120,16 +121,16 @@
 	return l
 }
 
-// list lists the targets as a function changes them.
-func (l *coldLab) list(change func(*blackboard.Target)) {
+// setTargets publishes the target list after applying change to each entry.
+func (l *coldCluster) setTargets(change func(*blackboard.Target)) {
 	view := &blackboard.Targets{ByService: make(map[blackboard.ServiceKey][]blackboard.Target)}
-	for i := range 2 * coldZone {
+	for i := range 2 * coldTargetsPerZone {
 		t := blackboard.Target{ID: ports.HostID(fmt.Sprintf("t%02d", i)), Zone: fmt.Sprint("z", i%2), Slots: 2}
 		if l.targets[t.ID] == nil {
 			l.targets[t.ID] = &coldTarget{}
 		}
 		change(&t)
-		view.ByService[restartKey] = append(view.ByService[restartKey], t)
+		view.ByService[testKey] = append(view.ByService[testKey], t)
 	}
 	l.board.Targets.Store(view)
 	for _, p := range l.placers {
@@ -137,10 +138,10 @@
 	}
 }
 
-// call has a host choose a target and run a call there, and reports whether it did.
-func (l *coldLab) call(t *testing.T, p *Placer) bool {
+// call picks a target, runs a call there and reports whether one was granted.
+func (l *coldCluster) call(t *testing.T, p *Placer) bool {
 	now := time.Now()
-	g, _ := p.Pick(t.Context(), pick.Request{Service: restartKey, Arrived: now, Objective: 300 * time.Millisecond})
+	g, _ := p.Pick(t.Context(), pick.Request{Service: testKey, Arrived: now, Objective: 300 * time.Millisecond})
 	if g == nil {
 		return false
 	}
@@ -149,9 +150,9 @@
 	return true
 }
 
-// play has callers come for a time, at a rate for all hosts, and returns how many came and how
-// many were refused.
-func (l *coldLab) play(t *testing.T, rng *rand.Rand, rate float64, d time.Duration) (sent, refused int) {
+// runLoad sends calls at a total rate to random hosts for a time, and returns how many were
+// sent and refused.
+func (l *coldCluster) runLoad(t *testing.T, rng *rand.Rand, rate float64, d time.Duration) (sent, refused int) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for end := time.Now().Add(d); time.Now().Before(end); {
@@ -170,72 +171,72 @@
 	return sent, refused
 }
 
-// A zone is taken back after its targets had no calls for seconds, and all of them are cold.
-// They are idle, and so look best to every host. None gets more calls in a second than it
-// bears, the callers of its zone are served by the other meanwhile, and once the targets are
-// warm, the zone has its part of the load again.
+// The evacuation of a zone ends after its targets had no calls for seconds, and all of them are
+// cold. They are idle, so they look cheapest to every host. No target may get more calls per
+// second than its cold limit; meanwhile the other zone serves the callers, and once the targets
+// are warm the zone gets its share of the load again.
 func TestZoneThatIsTakenBackIsNotFlooded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newColdLab(t, 40)
+		l := newColdCluster(t, 40)
 		defer l.board.Close()
 		rng := rand.New(rand.NewPCG(7, 7))
 		inZone := func(tg *blackboard.Target) bool { return tg.Zone == "z1" }
-		l.list(func(tg *blackboard.Target) { tg.Evacuated = inZone(tg) })
-		sent, refused := l.play(t, rng, 300, 3*time.Second)
+		l.setTargets(func(tg *blackboard.Target) { tg.Evacuated = inZone(tg) })
+		sent, refused := l.runLoad(t, rng, 300, 3*time.Second)
 		assert.Check(t, refused < sent/100, "%d of %d refused", refused, sent)
 		back := time.Now()
 		for id, tg := range l.targets {
 			if id[len(id)-1]%2 == 1 {
-				assert.Equal(t, len(tg.got), 0, "%s", id)
-				tg.coldUntil = back.Add(coldFor)
+				assert.Equal(t, len(tg.calls), 0, "%s", id)
+				tg.coldUntil = back.Add(coldDuration)
 			}
 		}
-		l.list(func(tg *blackboard.Target) {
+		l.setTargets(func(tg *blackboard.Target) {
 			if inZone(tg) {
 				tg.ReturnedAt = back
 			}
 		})
-		sent, refused = l.play(t, rng, 300, coldFor)
+		sent, refused = l.runLoad(t, rng, 300, coldDuration)
 		worst, cold := 0, 0
 		for _, tg := range l.targets {
 			if !tg.coldUntil.IsZero() {
-				worst, cold = max(worst, tg.worst(back)), cold+len(tg.got)
+				worst, cold = max(worst, tg.maxPerSecond(back)), cold+len(tg.calls)
 			}
 		}
 		t.Logf("%d calls, %d refused; cold targets got %d, one of them %d in a second", sent, refused, cold, worst)
-		assert.Check(t, worst <= coldAtMost, "%d in a second", worst)
+		assert.Check(t, worst <= maxColdCalls, "%d in a second", worst)
 		assert.Check(t, refused < sent/100, "%d of %d refused", refused, sent)
-		assert.Check(t, cold > 0, "a ramp and no wall")
-		sent, refused = l.play(t, rng, 300, 2*time.Second)
+		assert.Check(t, cold > 0, "cold targets got no calls at all")
+		sent, refused = l.runLoad(t, rng, 300, 2*time.Second)
 		warm := -cold
 		for _, tg := range l.targets {
 			if !tg.coldUntil.IsZero() {
-				warm += len(tg.got)
+				warm += len(tg.calls)
 			}
 		}
-		assert.Check(t, warm > sent/3, "%d of %d calls went to the zone that is warm again", warm, sent)
+		assert.Check(t, warm > sent/3, "%d of %d calls went to the zone after it warmed up", warm, sent)
 		assert.Check(t, refused < sent/100)
 	})
 }
 
-// The zone is taken back and its targets are as warm as ever: a host that presumes them to be
-// cold asks them, and has its calls there at once.
+// The evacuation of a zone ends and its targets are warm. Hosts presume them to be cold, but
+// probe them and send them calls at once.
 func TestZoneThatIsWarmIsUsedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newColdLab(t, 40)
+		l := newColdCluster(t, 40)
 		defer l.board.Close()
 		rng := rand.New(rand.NewPCG(8, 8))
 		back := time.Now()
-		l.list(func(tg *blackboard.Target) {
+		l.setTargets(func(tg *blackboard.Target) {
 			if tg.Zone == "z1" {
 				tg.ReturnedAt = back
 			}
 		})
-		sent, refused := l.play(t, rng, 300, time.Second)
+		sent, refused := l.runLoad(t, rng, 300, time.Second)
 		used := 0
 		for id, tg := range l.targets {
 			if id[len(id)-1]%2 == 1 {
-				used += len(tg.got)
+				used += len(tg.calls)
 			}
 		}
 		assert.Equal(t, refused, 0)
@@ -243,82 +244,82 @@
 	})
 }
 
-// All targets of a service are cold, and more calls come than they bear: what is beyond that is
-// refused at once, and no target gets more.
-func TestAllTargetsColdRefusesWhatTheyDoNotBear(t *testing.T) {
+// All targets of a service are cold and the load exceeds their cold limits: the excess is
+// refused at once and no target gets more than its limit.
+func TestExcessCallsToColdTargetsAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newColdLab(t, 40)
+		l := newColdCluster(t, 40)
 		defer l.board.Close()
 		begin := time.Now()
 		for _, tg := range l.targets {
-			tg.coldUntil = begin.Add(coldFor)
+			tg.coldUntil = begin.Add(coldDuration)
 		}
-		l.list(func(tg *blackboard.Target) { tg.WarmUntil = begin.Add(coldFor) })
-		sent, refused := l.play(t, rand.New(rand.NewPCG(9, 9)), 600, coldFor)
+		l.setTargets(func(tg *blackboard.Target) { tg.WarmUntil = begin.Add(coldDuration) })
+		sent, refused := l.runLoad(t, rand.New(rand.NewPCG(9, 9)), 600, coldDuration)
 		worst := 0
 		for _, tg := range l.targets {
-			worst = max(worst, tg.worst(begin))
+			worst = max(worst, tg.maxPerSecond(begin))
 		}
 		t.Logf("%d calls, %d refused, one target had %d in a second", sent, refused, worst)
-		assert.Check(t, worst <= coldAtMost)
+		assert.Check(t, worst <= maxColdCalls)
 		served := float64(sent - refused)
-		assert.Check(t, served > 0.6*coldRate*2*coldZone*coldFor.Seconds(), "%v served", served)
+		assert.Check(t, served > 0.6*coldRate*2*coldTargetsPerZone*coldDuration.Seconds(), "%v served", served)
 	})
 }
 
-// A zone loses power under load and is back cold, with the record a second behind. Hosts have
-// used up what they may probe, and what they knew says that its targets are well. Their calls
-// must not flood it all the same.
+// A zone loses power under load and comes back cold, with the target list a second behind. The
+// hosts have used up their probe quota and still hold load reports from before. Their calls
+// must not overload the cold targets.
 func TestColdTargetsAreNotFloodedByHostsThatMayNotProbe(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newColdLab(t, 5)
+		l := newColdCluster(t, 5)
 		defer l.board.Close()
 		rng := rand.New(rand.NewPCG(10, 10))
-		l.play(t, rng, 600, 2*time.Second)
+		l.runLoad(t, rng, 600, 2*time.Second)
 		back := time.Now()
 		for id, tg := range l.targets {
 			if id[len(id)-1]%2 == 1 {
-				tg.coldUntil = back.Add(coldFor)
+				tg.coldUntil = back.Add(coldDuration)
 			}
 		}
-		sent, refused := l.play(t, rng, 900, coldFor)
+		sent, refused := l.runLoad(t, rng, 900, coldDuration)
 		worst := 0
 		for _, tg := range l.targets {
-			worst = max(worst, tg.worst(back))
+			worst = max(worst, tg.maxPerSecond(back))
 		}
 		t.Logf("%d calls, %d refused, one target had %d in a second", sent, refused, worst)
-		assert.Check(t, worst <= coldAtMost)
+		assert.Check(t, worst <= maxColdCalls)
 	})
 }
 
-// A target that could not be reached is back, and says that it is cold. It rests no longer the next
-// time that it can not be reached for a moment.
-func TestColdAnswerEndsTheRests(t *testing.T) {
+// A target that was unreachable answers that it is cold. That resets its backoff, so that the
+// next short failure starts again with the shortest one.
+func TestColdAnswerResetsBackoff(t *testing.T) {
 	now := time.Now()
-	tg := silentTarget("a")
-	s := &service{targets: map[ports.HostID]*target{"a": tg}, limits: coldLimits{warmUp: coldFor, perSecond: coldRate}}
-	tg.unreachable(now)
-	tg.probing = make(chan struct{})
-	news := s.answered(tg, answer{reached: true, said: targetapi.Signals{HasLoad: true, Load: targetapi.Load{Slots: 2, Slowdown: 1}, WarmUp: time.Second}}, time.Millisecond)
-	assert.Equal(t, news, newsCold)
-	assert.Equal(t, tg.rests, 0)
+	tg := unreportedTarget("a")
+	s := &service{targets: map[ports.HostID]*target{"a": tg}, limits: coldLimits{warmUp: coldDuration, perSecond: coldRate}}
+	tg.markUnreachable(now)
+	tg.probeDone = make(chan struct{})
+	change := s.recordProbe(tg, probeResult{reached: true, signals: targetapi.Signals{HasLoad: true, Load: targetapi.Load{Slots: 2, Slowdown: 1}, WarmUp: time.Second}}, time.Millisecond)
+	assert.Equal(t, change, msgCold)
+	assert.Equal(t, tg.connectFailures, 0)
 	assert.Check(t, tg.cold.Cold(time.Now()) && tg.cold.Certain())
 }
 
-// An operator reads in the line of a call why its cold target got it: by its own word, or since
-// nobody had heard of it.
-func TestCallToAColdTargetTellsWhatThatRestedOn(t *testing.T) {
+// The log line of a call to a cold target must say why it was taken for cold: by its own report
+// ("answer"), or "" if nothing is known of it.
+func TestBasisSaysWhyATargetIsCold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, want := range []string{"answer", ""} {
-			l := newColdLab(t, 40)
+			l := newColdCluster(t, 40)
 			for _, tg := range l.targets {
 				if want != "" {
-					tg.coldUntil = time.Now().Add(coldFor)
+					tg.coldUntil = time.Now().Add(coldDuration)
 				}
 			}
 			seen := make(map[string]int)
 			for _, p := range l.placers {
-				if g, _ := p.Pick(t.Context(), pick.Request{Service: restartKey}); g != nil {
+				if g, _ := p.Pick(t.Context(), pick.Request{Service: testKey}); g != nil {
 					seen[g.(pick.Explainer).Basis().Cold]++
 				}
 			}
--- a/placer/counters.go
+++ b/placer/counters.go
@@ -6,16 +6,17 @@
 	"github.com/cactusproxy/cactusproxy/metrics"
 )
 
-// counters are those of the metrics maps "placer" and "placer_refused".
+// counters are the metrics in the maps "placer" and "placer_refused".
 type counters struct {
 	probes, probesFailed, probesRefused, waits, ejected *expvar.Int
-	// late counts ends of calls to targets that are no longer listed, or have started anew.
-	late *expvar.Int
-	// evacuated counts choices made while a zone of the service's targets is evacuated,
-	// coldCalls calls sent to cold targets, coldSpent choices for which cold targets were left
-	// out since this host's part of their calls was used up.
-	evacuated, coldCalls, coldSpent *expvar.Int
-	// refused counts by reason.
+	// lateResults counts results of attempts at targets that were delisted or restarted
+	// meanwhile.
+	lateResults *expvar.Int
+	// evacuated counts choices made while a zone with targets of the service is evacuated,
+	// coldCalls calls sent to cold targets, coldOverQuota choices that skipped cold targets
+	// because this host's quota for them was used up.
+	evacuated, coldCalls, coldOverQuota *expvar.Int
+	// refused counts refused calls by reason.
 	refused *expvar.Map
 }
 
@@ -27,10 +28,10 @@
 		probesRefused: c("probes_over_quota"),
 		waits:         c("waits"),
 		ejected:       c("ejected"),
-		late:          c("late_ends"),
+		lateResults:   c("late_ends"),
 		evacuated:     c("choices_without_zone"),
 		coldCalls:     c("cold_calls"),
-		coldSpent:     c("cold_quota_spent"),
+		coldOverQuota: c("cold_quota_spent"),
 		refused:       m.Map("placer_refused"),
 	}
 }
--- a/placer/evacuation_test.go
+++ b/placer/evacuation_test.go
@@ -13,8 +13,9 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// listZones has the platform list targets in zones, of which some are evacuated.
-func (l *restartLab) listZones(zones []string, evacuated ...string) {
+// listZones publishes one target per entry of zones; those in the evacuated zones are marked as
+// such.
+func (l *testPlacer) listZones(zones []string, evacuated ...string) {
 	var list []blackboard.Target
 	for i, zone := range zones {
 		t := blackboard.Target{ID: ports.HostID(rune('a' + i)), Zone: zone, Slots: 2}
@@ -23,26 +24,27 @@
 		}
 		list = append(list, t)
 	}
-	l.board.Targets.Store(&blackboard.Targets{ByService: map[blackboard.ServiceKey][]blackboard.Target{restartKey: list}})
+	l.board.Targets.Store(&blackboard.Targets{ByService: map[blackboard.ServiceKey][]blackboard.Target{testKey: list}})
 }
 
-// tellIdle has all targets say that they are idle.
-func (l *restartLab) tellIdle() {
-	s := l.p.service(restartKey)
+// reportIdle records a load report of an idle target for each target.
+func (l *testPlacer) reportIdle() {
+	s := l.p.service(testKey)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	s.refresh(now)
 	for _, t := range s.list {
-		s.told(now, t, targetapi.Load{Slots: 2, Slowdown: 1})
+		s.recordLoad(now, t, targetapi.Load{Slots: 2, Slowdown: 1})
 	}
 }
 
-// picks returns how often each zone was chosen in a number of choices.
-func (l *restartLab) picks(t *testing.T, n int, req pick.Request) map[string]int {
-	req.Service = restartKey
+// picks makes n choices and counts them by the zone of the target, or by the reason of the
+// refusal.
+func (l *testPlacer) picks(t *testing.T, n int, req pick.Request) map[string]int {
+	req.Service = testKey
 	zones := make(map[string]int)
-	l.tellIdle()
+	l.reportIdle()
 	for range n {
 		g, refusal := l.p.Pick(t.Context(), req)
 		if g == nil {
@@ -55,10 +57,10 @@
 	return zones
 }
 
-// A zone is evacuated, then another, and both are taken back: no choice, whether the first of a
-// call, a retry or a hedge, falls on an evacuated zone.
+// One zone is evacuated, then a second, and both evacuations end. No choice, whether for a
+// first attempt, a retry or a hedged attempt, may fall on an evacuated zone.
 func TestNoChoiceFallsOnAnEvacuatedZone(t *testing.T) {
-	l := newRestartLab(t)
+	l := newTestPlacer(t)
 	zones := []string{"x", "x", "y", "y", "z"}
 	for _, req := range []pick.Request{{}, {Avoid: []ports.HostID{"e"}}, {Hedge: true}} {
 		l.listZones(zones, "x")
@@ -74,13 +76,13 @@
 	assert.Check(t, l.p.count.evacuated.Value() > 0)
 }
 
-// Every zone of a service is evacuated, or the only one. Its callers are refused at once, with
-// a reason of its own and a time to come back.
+// If every zone of a service is evacuated, its callers are refused at once, with a reason of
+// its own and a Retry-After.
 func TestAllZonesEvacuatedRefusesAtOnce(t *testing.T) {
-	l := newRestartLab(t)
+	l := newTestPlacer(t)
 	l.listZones([]string{"x", "y"}, "x", "y")
 	begin := time.Now()
-	g, refusal := l.p.Pick(t.Context(), pick.Request{Service: restartKey})
+	g, refusal := l.p.Pick(t.Context(), pick.Request{Service: testKey})
 	assert.Check(t, g == nil)
 	assert.Equal(t, refusal.Reason, outcome.ReasonEvacuated)
 	assert.Equal(t, refusal.Outcome, outcome.NotRun)
@@ -88,24 +90,24 @@
 	assert.Check(t, time.Since(begin) < 100*time.Millisecond)
 }
 
-// Targets of evacuated zones are not probed, and what all hosts may ask goes by those left.
-func TestShareGoesByTheTargetsThatAreLeft(t *testing.T) {
-	l := newRestartLab(t)
-	left := func() float64 {
+// Targets in evacuated zones are not probed and do not count towards the probe budget.
+func TestProbeQuotaExcludesEvacuatedTargets(t *testing.T) {
+	l := newTestPlacer(t)
+	limit := func() float64 {
 		s := NewProbeQuota(l.board, 10)
 		s.Update()
 		return float64(s.limiter.Limit())
 	}
 	l.listZones([]string{"x", "y"})
-	all := left()
+	all := limit()
 	l.listZones([]string{"x", "y"}, "x")
-	assert.Equal(t, left(), all/2)
+	assert.Equal(t, limit(), all/2)
 }
 
-// A call that is bound to regions goes nowhere else, also if nothing else is left, and not to a
-// zone of which nobody knows where it is.
+// A call restricted to regions goes nowhere else, even if no other target is left, and not to a
+// zone of unknown region.
 func TestCallsStayInTheirRegions(t *testing.T) {
-	l := newRestartLab(t)
+	l := newTestPlacer(t)
 	l.p.deps.Regions = Regions{"x": "north", "y": "south"}
 	l.listZones([]string{"x", "y", "unknown"})
 	for _, hedge := range []bool{false, true} {
--- a/placer/overload_test.go
+++ b/placer/overload_test.go
@@ -24,7 +24,8 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// The load: five targets of four slots at 60 ms carry 333 calls a second.
+// Five targets with four slots and 60 ms of work per call have a capacity of 333 calls per
+// second.
 const (
 	simTargets   = 5
 	simSlots     = 4
@@ -34,7 +35,7 @@
 	simCapacity  = float64(simTargets*simSlots) / 0.06
 )
 
-// simTarget runs calls in virtual time, those that wait in order of arrival.
+// simTarget runs calls in virtual time; waiting calls are served in order of arrival.
 type simTarget struct {
 	slots chan struct{}
 
@@ -55,19 +56,19 @@
 	t.waiting += waiting
 }
 
-// run runs one call and returns the load told with its answer, which counts the call.
+// run runs one call and returns the load report sent with its answer, which includes the call.
 func (t *simTarget) run() targetapi.Load {
 	t.add(0, 1)
 	t.slots <- struct{}{}
 	t.add(1, -1)
 	time.Sleep(simWork)
-	told, _ := readSimLoad(t.load())
+	report, _ := readSimLoad(t.load())
 	t.add(-1, 0)
 	<-t.slots
-	return told
+	return report
 }
 
-// simTargetsByID answers probes of the placer.
+// simTargetsByID is an upstream that answers probes with the targets' load.
 type simTargetsByID map[ports.HostID]*simTarget
 
 func (s simTargetsByID) RoundTrip(_ *http.Request, t blackboard.Target, _ upstream.SendOptions) upstream.Result {
@@ -83,25 +84,25 @@
 	return l, err == nil
 }
 
-// simResult counts what callers got.
+// simResult counts calls by result.
 type simResult struct{ sent, inTime, late, refused int }
 
-// play sends calls for two seconds at a multiple of what the targets carry.
-func play(t *testing.T, times float64) simResult {
-	return load{times: times, probes: 200}.play(t)
+// play runs one host for two seconds at a multiple of the targets' capacity.
+func play(t *testing.T, factor float64) simResult {
+	return load{factor: factor, probes: 200}.play(t)
 }
 
-// load is what callers do, and what the host may ask.
+// load describes a simulated load and the hosts that serve it.
 type load struct {
-	// times is how many calls come, as a multiple of what the targets carry.
-	times float64
-	// probes is how many a target may get in a second.
+	// factor is the call rate as a multiple of the targets' capacity.
+	factor float64
+	// probes is the probe budget per target and second.
 	probes float64
-	// hosts is how many there are, each of which gets an even part of the calls; 0 is one.
+	// hosts is the number of hosts, which share the calls evenly; 0 is one.
 	hosts int
-	// again has a refused caller come once more as told, known lets the choice know that
-	// it has waited.
-	again, known bool
+	// retry makes refused callers retry once after the Retry-After; with keepArrival the retry
+	// keeps the arrival time of the first request.
+	retry, keepArrival bool
 }
 
 func (l load) play(t *testing.T) (res simResult) {
@@ -130,7 +131,7 @@
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
-			time.Sleep(time.Duration(rng.ExpFloat64() / (l.times * simCapacity) * float64(time.Second)))
+			time.Sleep(time.Duration(rng.ExpFloat64() / (l.factor * simCapacity) * float64(time.Second)))
 			res.sent++
 			p := placers[0]
 			if l.hosts > 0 {
@@ -141,10 +142,10 @@
 				ctx, cancel := context.WithTimeout(bubble.Context(), simDeadline)
 				defer cancel()
 				g, refusal := p.Pick(ctx, pick.Request{Service: key, Arrived: arrived, Objective: simObjective})
-				if g == nil && l.again {
+				if g == nil && l.retry {
 					asked := arrived
 					time.Sleep(refusal.RetryAfter)
-					if !l.known {
+					if !l.keepArrival {
 						asked = time.Now()
 					}
 					g, _ = p.Pick(ctx, pick.Request{Service: key, Arrived: asked, Objective: simObjective})
@@ -172,19 +173,19 @@
 	return res
 }
 
-// Three times as many calls come as the targets can run. As many are answered as they
-// can run, and most of these in time; the rest is refused. With queues as long as the
-// targets take them, all were answered late.
+// At three times the capacity, about as many calls are answered as the targets can run, most of
+// them in time, and the rest is refused. Guards against filling the targets' queues, after
+// which all answers are late.
 func TestMostAnswersAreInTimeUnderOverload(t *testing.T) {
 	r := play(t, 3)
-	carried := 2 * simCapacity
-	assert.Check(t, float64(r.inTime+r.late) > 0.85*carried, "%+v", r)
-	assert.Check(t, float64(r.inTime) > 0.75*carried, "%+v", r)
+	capacity := 2 * simCapacity
+	assert.Check(t, float64(r.inTime+r.late) > 0.85*capacity, "%+v", r)
+	assert.Check(t, float64(r.inTime) > 0.75*capacity, "%+v", r)
 }
 
-// Below what the targets carry nothing is refused, and next to nothing is late. Close to
-// it, at 0.8, calls come in such numbers now and then that the queue of every target is
-// longer than leads to an answer in time; no more than one call in 100 is refused.
+// Well below capacity nothing is refused and almost nothing is late. At 0.8 of the capacity
+// bursts sometimes fill every queue beyond what allows an answer in time; at most one call in
+// 100 is refused.
 func TestNothingIsRefusedBelowCapacity(t *testing.T) {
 	r := play(t, 0.65)
 	assert.Equal(t, r.refused, 0)
@@ -194,40 +195,39 @@
 	assert.Check(t, r.late < r.sent/50, "%+v", r)
 }
 
-// More calls come than the targets can run, and the host may put one probe for every
-// seven calls, so that it goes by figures of some 100 ms ago and by what it knows of its
-// own calls. As many are answered as the targets can run, and most of these in time; with
-// its own calls counted as the targets told them, 498 of 666 were in time, now 622.
-func TestMostAnswersAreInTimeThoughFewTargetsAreAsked(t *testing.T) {
+// At 1.3 times the capacity with one probe for about seven calls, choices rest on load reports
+// some 100 ms old and on the host's count of its own calls. About as many calls are answered as
+// the targets can run, most of them in time. Guards against counting the host's own calls by
+// the targets' reports instead, which made a quarter of the answers late.
+func TestMostAnswersAreInTimeThoughFewTargetsAreProbed(t *testing.T) {
 	for _, probes := range []float64{10, 20} {
-		r := load{times: 1.3, probes: probes}.play(t)
-		carried := 2 * simCapacity
-		assert.Check(t, float64(r.inTime+r.late) > 0.95*carried, "%+v", r)
-		assert.Check(t, float64(r.inTime) > 0.85*carried, "%+v", r)
+		r := load{factor: 1.3, probes: probes}.play(t)
+		capacity := 2 * simCapacity
+		assert.Check(t, float64(r.inTime+r.late) > 0.95*capacity, "%+v", r)
+		assert.Check(t, float64(r.inTime) > 0.85*capacity, "%+v", r)
 	}
 }
 
-// Refused callers come once more as they were told, when it is too late for an answer in
-// time. Known to have waited, they get what slots are free and do not queue before those
-// that have just asked: 668 in place of 474 are answered in time, 717 in place of 752 in
-// all.
+// Refused callers retry as told, when an answer in time is no longer possible. With the arrival
+// time of the first request kept, retries only get free slots and do not queue ahead of new
+// calls: many more answers are in time, at the cost of a few answers in all.
 func TestCallersThatComeAgainDoNotQueueBeforeNewOnes(t *testing.T) {
-	unknown := load{times: 1.5, probes: 200, again: true}.play(t)
-	known := load{times: 1.5, probes: 200, again: true, known: true}.play(t)
+	unknown := load{factor: 1.5, probes: 200, retry: true}.play(t)
+	known := load{factor: 1.5, probes: 200, retry: true, keepArrival: true}.play(t)
 	assert.Check(t, known.inTime > unknown.inTime*11/10, "%+v, %+v", known, unknown)
 	answered := func(r simResult) int { return r.inTime + r.late }
 	assert.Check(t, answered(known) > answered(unknown)*9/10, "%+v, %+v", known, unknown)
 }
 
-// Half as many calls again come as the targets can run, at eight hosts that see little of each
-// other's calls, and the refused ones come back when it is too late for them. Those that can
-// still be in time get the slots.
+// At 1.5 times the capacity, eight hosts see little of each other's calls, and refused callers
+// retry when an answer in time is no longer possible. The slots must go to the calls that can
+// still be in time.
 func TestScarceSlotsGoToCallsThatCanBeInTime(t *testing.T) {
 	for _, probes := range []float64{40, 100} {
-		r := load{times: 1.5, probes: probes, hosts: 8, again: true, known: true}.play(t)
+		r := load{factor: 1.5, probes: probes, hosts: 8, retry: true, keepArrival: true}.play(t)
 		assert.Check(t, float64(r.inTime) > 0.9*2*simCapacity, "%+v", r)
 		assert.Check(t, r.late < r.sent/50, "%+v", r)
 	}
-	r := load{times: 0.6, probes: 100, hosts: 8}.play(t)
+	r := load{factor: 0.6, probes: 100, hosts: 8}.play(t)
 	assert.Check(t, r.refused <= r.sent/100, "%+v", r)
 }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -1,7 +1,11 @@
-// Package placer chooses targets by probing them: of the targets that look best by
-// what is remembered, several are probed for their load at the moment of the choice
-// and the one that would answer first gets the call. The decisions are in
-// policy/placing; here are the lock, the probes and the counters.
+// Package placer chooses the target of each attempt. For each choice it takes the few targets
+// with the lowest estimated cost, probes those whose load report is not fresh, and picks the
+// cheapest by the answers. Cost is the estimated time to the answer plus the price of sending
+// bytes to another availability zone.
+//
+// The decision rules are in package policy/placing. This package holds the state per service
+// and target, the locks, the probes and their quota, the backoff and ejection of failing
+// targets, and the metrics.
 package placer
 
 import (
@@ -24,31 +28,31 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// probeTimeout ends a probe that gets no answer.
+// probeTimeout is the time after which an unanswered probe counts as failed.
 const probeTimeout = 250 * time.Millisecond
 
-// Deps is what a Placer works with.
+// Deps are the dependencies of a Placer.
 type Deps struct {
 	Board    *blackboard.Board
 	Upstream upstream.RoundTripper
 	Contract *targetapi.Contract
-	// Probes allows probes to targets.
+	// Probes limits the probes that this host sends.
 	Probes *ProbeQuota
-	// Regions are the regions of the availability zones.
+	// Regions maps availability zones to their regions.
 	Regions Regions
 	// Zone is this host's availability zone.
 	Zone    string
 	Seed    uint64
 	Metrics *metrics.Set
 	Log     *zap.Logger
-	// OnLeaving, if set, is called when a target's own answer said that it is
-	// leaving. It must not block.
+	// OnLeaving, if set, is called when a response shows that its target is leaving. It must
+	// not block.
 	OnLeaving func(blackboard.ServiceKey, blackboard.Target)
-	// OnSignals, if set, is told what targets say of themselves in answers to probes.
+	// OnSignals, if set, is called with the signals in each probe response. It must not block.
 	OnSignals pick.SignalHandler
 }
 
-// Placer is the pick.Picker of one daemon.
+// Placer is a pick.Picker that chooses targets by probing. It is safe for concurrent use.
 type Placer struct {
 	deps  Deps
 	count counters
@@ -60,7 +64,7 @@
 
 var _ pick.Picker = (*Placer)(nil)
 
-// New returns a placer that knows no targets.
+// New returns a Placer. It reads targets, routes and members from the board on each choice.
 func New(d Deps) *Placer {
 	return &Placer{
 		deps:     d,
@@ -97,17 +101,17 @@
 	start := time.Now()
 	for waits := 0; ; waits++ {
 		c := p.candidates(s, req, waits)
-		probed := c.first()
+		probed := c.sameZone()
 		if len(c.all()) == 0 {
-			return nil, p.refuse(s.whyNone(c), s.describe())
+			return nil, p.refuse(s.refusalReason(c), s.describe())
 		}
 		p.probe(ctx, s, probed)
 		g, last := p.choose(ctx, s, req, probed, placing.MayProbeFar)
 		if g == nil && last == "" {
 			probed = c.all()
 			next := placing.MayWait
-			// More of the same guesses would be no better.
-			if known := p.probe(ctx, s, probed); !req.Hedge && (!known || waits >= s.mayWait()) {
+			// Another probe round is worthwhile only if this one brought current load reports.
+			if known := p.probe(ctx, s, probed); !req.Hedge && (!known || waits >= s.maxWaits()) {
 				next = placing.Last
 			}
 			g, last = p.choose(ctx, s, req, probed, next)
@@ -120,8 +124,8 @@
 			return nil, p.refuse(last, s.describe())
 		}
 		if req.Hedge {
-			// The first attempt may still be answered: a second one that waits, or takes
-			// a slot that others want, costs more than it gains.
+			// The first attempt may still succeed. A hedged attempt that waits, or takes a slot
+			// that other calls need, costs more than it gains.
 			return nil, p.refuse(outcome.ReasonOverload, "no spare slot")
 		}
 		p.count.waits.Add(1)
@@ -138,23 +142,23 @@
 	if s.refresh(now) {
 		p.deps.Probes.Update()
 	}
-	left := p.deps.Probes.Left(now)
-	c := s.candidates(now, req, placing.Width(waits, left), placing.Blind(left))
+	remaining := p.deps.Probes.Remaining(now)
+	c := s.candidates(now, req, placing.Width(waits, remaining), placing.Blind(remaining))
 	if len(c.all()) == 0 && s.widen(now) {
-		c = s.candidates(now, req, placing.Width(waits, left), placing.Blind(left))
+		c = s.candidates(now, req, placing.Width(waits, remaining), placing.Blind(remaining))
 	}
 	if s.evacuated > 0 {
 		p.count.evacuated.Add(1)
 	}
-	if c.coldSpent > 0 {
-		p.count.coldSpent.Add(1)
+	if c.coldOverQuota > 0 {
+		p.count.coldOverQuota.Add(1)
 	}
 	return c
 }
 
-// choose takes the best target, or returns why there is none; neither means that
-// it is better to do what may come next.
-func (p *Placer) choose(ctx context.Context, s *service, req pick.Request, list []ranked, next placing.Next) (*held, outcome.Reason) {
+// choose grants the best target of a list. It returns a reason if the call is refused, and
+// neither a grant nor a reason if the caller should first try what next allows.
+func (p *Placer) choose(ctx context.Context, s *service, req pick.Request, list []ranked, next placing.Next) (*heldGrant, outcome.Reason) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,10 +166,10 @@
 	if t == nil {
 		return nil, overloadIf(next == placing.Last)
 	}
-	takes := t.figures.Time(now)
-	answer := time.Duration(takes * float64(s.work))
-	worthwhile := req.Objective == 0 || placing.Worthwhile(&t.figures, now, answer, req.Arrived.Add(req.Objective).Sub(now))
-	if at, ok := ctx.Deadline(); ok && answer > at.Sub(now) {
+	expectedWork := t.figures.Time(now)
+	expectedLatency := time.Duration(expectedWork * float64(s.workTime))
+	worthwhile := req.Objective == 0 || placing.Worthwhile(&t.figures, now, expectedLatency, req.Arrived.Add(req.Objective).Sub(now))
+	if at, ok := ctx.Deadline(); ok && expectedLatency > at.Sub(now) {
 		worthwhile = false
 	}
 	switch placing.Decide(cost, worthwhile, next) {
@@ -177,15 +181,15 @@
 	if t.info.Evacuated {
 		invariant.Check(false, invariant.EvacuatedIdle, "%s", t.info.Run())
 	}
-	basis := pick.Basis{Cost: cost, Age: t.figures.Age(now), LoadUnreported: s.isSilent()}
-	if s.limited(now, t) {
-		s.quotaOf(t).Take(now)
+	basis := pick.Basis{Cost: cost, Age: t.figures.Age(now), LoadUnreported: s.reportsNoLoad()}
+	if s.coldLimited(now, t) {
+		s.coldQuotaOf(t).Take(now)
 		p.count.coldCalls.Add(1)
 		basis.Cold = t.cold.Basis(now).String()
 	}
 	t.cold.Use()
 	t.figures.InFlight++
-	return &held{placer: p, service: s, target: t, info: t.info, takes: takes, basis: basis}, ""
+	return &heldGrant{placer: p, service: s, target: t, info: t.info, expectedWork: expectedWork, basis: basis}, ""
 }
 
 func overloadIf(refused bool) outcome.Reason {
@@ -202,70 +206,74 @@
 	return res
 }
 
-// held is a grant in the caller's hands.
-type held struct {
+// heldGrant is a grant that was handed to a caller. It implements pick.Grant and
+// pick.Explainer.
+type heldGrant struct {
 	placer  *Placer
 	service *service
 	target  *target
 	info    blackboard.Target
-	// takes is how long the answer was reckoned to take, in usual work times.
-	takes float64
-	basis pick.Basis
-	once  sync.Once
+	// expectedWork is the estimated duration of the call at the time of the choice, in units of
+	// the service's usual work time.
+	expectedWork float64
+	basis        pick.Basis
+	once         sync.Once
 }
 
-// Basis implements pick.Explained.
-func (h *held) Basis() pick.Basis { return h.basis }
+// Basis implements pick.Explainer.
+func (h *heldGrant) Basis() pick.Basis { return h.basis }
 
 // Target implements pick.Grant.
-func (h *held) Target() blackboard.Target { return h.info }
+func (h *heldGrant) Target() blackboard.Target { return h.info }
 
 // Release implements pick.Grant.
-func (h *held) Release(r pick.Report) {
-	h.once.Do(func() { h.placer.end(h, r) })
+func (h *heldGrant) Release(r pick.Report) {
+	h.once.Do(func() { h.placer.finish(h, r) })
 }
 
-// tell logs what this host has come to believe of a target, if anything.
-func (p *Placer) tell(news string, s *service, run ports.RunID) {
-	if news != "" {
-		p.deps.Log.Info(news, zap.String("target", string(run)), zap.String("service", s.key.Service))
+// logChange logs a change of a target's state as seen by this host; an empty message is not
+// logged.
+func (p *Placer) logChange(change string, s *service, run ports.RunID) {
+	if change != "" {
+		p.deps.Log.Info(change, zap.String("target", string(run)), zap.String("service", s.key.Service))
 	}
 }
 
-// learn takes in what the end of a call shows of its target, and returns what that changed
-// in what this host believes. The service's lock is held.
-func (p *Placer) learn(now time.Time, h *held, r pick.Report) (news string) {
+// recordResult updates the target and its service with the result of an attempt. It returns the
+// log message of a resulting state change, or "". The caller holds the service's lock.
+func (p *Placer) recordResult(now time.Time, h *heldGrant, r pick.Report) (change string) {
 	s := h.service
 	if r.TargetLoad.Slots > 0 {
-		s.told(now, h.target, r.TargetLoad)
+		s.recordLoad(now, h.target, r.TargetLoad)
 	}
-	news = h.target.end(now, r)
+	change = h.target.recordEnd(now, r)
 	switch r.Class {
 	case pick.OK:
-		s.learn(r.Latency, h.takes)
-		s.record(now, h.target, false)
+		s.recordWorkTime(r.Latency, h.expectedWork)
+		s.recordOutcome(now, h.target, false)
 	case pick.Failed, pick.TimedOut, pick.BrokeOff, pick.Foreign:
-		if s.record(now, h.target, true) {
+		if s.recordOutcome(now, h.target, true) {
 			p.count.ejected.Add(1)
-			news = newsEjected
+			change = msgEjected
 		}
 	}
-	return news
+	return change
 }
 
-// end takes in how a call ended.
-func (p *Placer) end(h *held, r pick.Report) {
+// finish records the result of an attempt and reports a leaving target. Results of targets that
+// were delisted or restarted meanwhile are only counted.
+func (p *Placer) finish(h *heldGrant, r pick.Report) {
 	now := time.Now()
 	s := h.service
 	s.mu.Lock()
-	news := ""
-	if s.holds(h.target) {
-		news = p.learn(now, h, r)
+	change := ""
+	if s.isCurrent(h.target) {
+		change = p.recordResult(now, h, r)
 	} else {
-		p.count.late.Add(1)
+		p.count.lateResults.Add(1)
 	}
 	s.mu.Unlock()
-	p.tell(news, s, h.info.Run())
+	p.logChange(change, s, h.info.Run())
 	leaving := r.LeavingHint || r.Class == pick.Leaving
 	if leaving && p.deps.OnLeaving != nil {
 		p.deps.OnLeaving(s.key, h.info)
--- a/placer/probe.go
+++ b/placer/probe.go
@@ -14,55 +14,56 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// probe probes the targets of a list whose figures are not fresh, all at once, and
-// waits a little for their answers. Choices of the same moment share them. It reports
-// whether any target of the list told something just now.
+// probe probes the targets of a list whose load reports are not fresh, in parallel, and waits
+// up to placing.ProbeWait for the answers. Concurrent choices share a probe in flight. It
+// reports whether any target of the list has a current load report.
 func (p *Placer) probe(ctx context.Context, s *service, list []ranked) bool {
-	path, conns := p.healthPath(s.key)
+	path, conns := p.probeConfig(s.key)
 	if path == "" {
 		return false
 	}
-	var waits []chan struct{}
+	var pending []chan struct{}
 	now := time.Now()
 	s.mu.Lock()
 	for _, r := range list {
 		if r.figures.Fresh(now) {
 			continue
 		}
-		if r.probing == nil {
+		if r.probeDone == nil {
 			if !p.deps.Probes.Take(now) {
 				p.count.probesRefused.Add(1)
 				continue
 			}
-			r.probing = make(chan struct{})
+			r.probeDone = make(chan struct{})
 			go p.probeTarget(s, r.target, r.info, path, conns)
 		}
-		waits = append(waits, r.probing)
+		pending = append(pending, r.probeDone)
 	}
 	s.mu.Unlock()
-	awaitAll(ctx, waits)
+	awaitAll(ctx, pending)
 	return s.anyFresh(list)
 }
 
-// anyFresh reports whether any target of a list told something just now.
+// anyFresh reports whether any target of a list reported its load during the last probe round.
 func (s *service) anyFresh(list []ranked) bool {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(list, func(r ranked) bool { return r.figures.Age(now) < placing.ProbeWait+freshWithin })
+	return slices.ContainsFunc(list, func(r ranked) bool { return r.figures.Age(now) < placing.ProbeWait+freshTolerance })
 }
 
-// freshWithin is what a figure may have aged while a choice waited for others.
-const freshWithin = 10 * time.Millisecond
+// freshTolerance is added to placing.ProbeWait as the age up to which a load report counts as
+// one of the current probe round.
+const freshTolerance = 10 * time.Millisecond
 
-// awaitAll waits until all channels are closed, but no longer than placing.ProbeWait.
-func awaitAll(ctx context.Context, waits []chan struct{}) {
-	if len(waits) == 0 {
+// awaitAll waits until all channels are closed, for at most placing.ProbeWait.
+func awaitAll(ctx context.Context, pending []chan struct{}) {
+	if len(pending) == 0 {
 		return
 	}
 	timer := time.NewTimer(placing.ProbeWait)
 	defer timer.Stop()
-	for _, w := range waits {
+	for _, w := range pending {
 		select {
 		case <-w:
 		case <-timer.C:
@@ -73,9 +74,9 @@
 	}
 }
 
-// healthPath returns where targets of a service tell their load, and the
-// connections that a target takes from this host.
-func (p *Placer) healthPath(key blackboard.ServiceKey) (path string, conns int) {
+// probeConfig returns the health path of a service and the number of connections that this host
+// may open to each target. The path is empty if targets cannot be probed.
+func (p *Placer) probeConfig(key blackboard.ServiceKey) (path string, conns int) {
 	table := p.deps.Board.Routes.Load()
 	if table == nil {
 		return "", 0
@@ -88,76 +89,77 @@
 	return s.HealthPath, max(1, s.MaxConns/hosts)
 }
 
-// probeTarget asks one target for its load.
+// probeTarget sends one probe and records its result.
 func (p *Placer) probeTarget(s *service, t *target, info blackboard.Target, path string, conns int) {
 	p.count.probes.Add(1)
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	sent := time.Now()
-	a := p.exchange(ctx, info, path, conns)
-	if a.reached && !a.other && p.deps.OnSignals != nil {
-		p.deps.OnSignals(s.key, info, a.said)
+	a := p.sendProbe(ctx, info, path, conns)
+	if a.reached && !a.replaced && p.deps.OnSignals != nil {
+		p.deps.OnSignals(s.key, info, a.signals)
 	}
-	p.tell(s.answered(t, a, time.Since(sent)), s, info.Run())
+	p.logChange(s.recordProbe(t, a, time.Since(sent)), s, info.Run())
 	if !a.reached {
 		p.count.probesFailed.Add(1)
 	}
 }
 
-// answer is what came of a probe: what the target said, if it was reached.
-type answer struct {
-	said    targetapi.Signals
+// probeResult is the result of one probe.
+type probeResult struct {
+	// signals are the target's signals; they are empty unless it was reached.
+	signals targetapi.Signals
 	reached bool
-	// other is set if another target has the address by now.
-	other bool
+	// replaced is set if another target answered at the address.
+	replaced bool
 }
 
-// answered takes in the answer to a probe, and returns what that changed in
-// what this host believes of the target.
-func (s *service) answered(t *target, a answer, took time.Duration) (news string) {
+// recordProbe records the result of a probe. It returns the log message of a resulting state
+// change, or "".
+func (s *service) recordProbe(t *target, a probeResult, took time.Duration) (change string) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(t.probing)
-	t.probing = nil
-	if !s.holds(t) {
+	close(t.probeDone)
+	t.probeDone = nil
+	if !s.isCurrent(t) {
 		return ""
 	}
 	switch {
-	case a.said.HasLoad:
-		s.told(now, t, a.said.Load)
-	case a.reached && !a.other:
-		s.answeredSilently(now, t, took)
-	}
-	if a.other {
-		if t.replaced(now) {
-			return newsLeaving
+	case a.signals.HasLoad:
+		s.recordLoad(now, t, a.signals.Load)
+	case a.reached && !a.replaced:
+		s.recordLoadlessProbe(now, t, took)
+	}
+	if a.replaced {
+		if t.markReplaced(now) {
+			return msgLeaving
 		}
 		return ""
 	}
 	if !a.reached {
-		if t.unreachable(now) {
-			return newsUnreachable
+		if t.markUnreachable(now) {
+			return msgUnreachable
 		}
 		return ""
 	}
-	back := t.reached()
+	recovered := t.markReachable()
 	switch {
-	case s.hearCold(now, t, a.said.WarmUp):
-		return newsCold
-	case back:
-		return newsReached
+	case s.recordWarmUp(now, t, a.signals.WarmUp):
+		return msgCold
+	case recovered:
+		return msgReachable
 	default:
 		return ""
 	}
 }
 
-// maxHealthBody bounds what is read of an answer, so that its connection can be
-// kept.
+// maxHealthBody is the number of bytes read of a health response. Short bodies are read to the
+// end so that the connection can be reused.
 const maxHealthBody = 4 << 10
 
-// exchange sends one probe.
-func (p *Placer) exchange(ctx context.Context, info blackboard.Target, path string, conns int) (a answer) {
+// sendProbe sends one probe and reads the response.
+func (p *Placer) sendProbe(ctx context.Context, info blackboard.Target, path string, conns int) (a probeResult) {
 	req := &http.Request{
 		Method:     http.MethodGet,
 		URL:        &url.URL{Path: path},
@@ -175,9 +177,9 @@
 	_, _ = io.CopyN(io.Discard, res.Response.Body, maxHealthBody)
 	a.reached = true
 	if !p.deps.Contract.IsFrom(string(info.ID), res.Response.Header) {
-		a.other = true
+		a.replaced = true
 		return a
 	}
-	a.said = p.deps.Contract.Signals(res.Response.StatusCode, res.Response.Header)
+	a.signals = p.deps.Contract.Signals(res.Response.StatusCode, res.Response.Header)
 	return a
 }
--- a/placer/probequota.go
+++ b/placer/probequota.go
@@ -8,40 +8,40 @@
 	"github.com/cactusproxy/cactusproxy/blackboard"
 )
 
-// quotaUsed is the part of the budget for measuring that hosts use together, so
-// that lists of hosts that disagree for a while do not add up to more than all.
-const quotaUsed = 0.8
+// budgetFraction is the fraction of the probe budget that all hosts use together. The margin
+// keeps the total within the budget while hosts disagree about the member list.
+const budgetFraction = 0.8
 
-// firstBurst is more probes than any host may have saved up: a quota begins with as many
-// as it can hold, a second's.
+// initialBurst exceeds the burst size of any host, so that the limiter starts full, with one
+// second's worth of probes.
 //
-// After a start of all hosts the callers that waited come at once, and their calls would else go by
-// guesses. Probes are bounded over minutes, and a start is rare beside that.
-const firstBurst = 1 << 20
+// After all hosts restart, waiting callers arrive at once, and without probes their calls would
+// be placed on guesses. The budget is meant as an average over minutes, and restarts are rare.
+const initialBurst = 1 << 20
 
-// ProbeQuota is this host's part of the probes that all hosts may put to targets.
-// An even part needs no word between the hosts; a lease of it in the platform's
-// store would be paid for at each renewal.
+// ProbeQuota limits the probes that this host sends to an equal share of the budget of all
+// hosts. An equal share needs no messages between hosts; a lease in the platform's store would
+// cost a store write per renewal.
 type ProbeQuota struct {
 	board *blackboard.Board
-	// perTarget is the probes a target may get in a second, from all hosts.
+	// perTarget is the probes per second that a target may get from all hosts together.
 	perTarget float64
 	limiter   *rate.Limiter
 }
 
-// NewProbeQuota returns the quota of a host, from the targets and hosts on its board.
+// NewProbeQuota returns the probe quota of a host. Update sets its rate.
 func NewProbeQuota(b *blackboard.Board, perTarget float64) *ProbeQuota {
-	return &ProbeQuota{board: b, perTarget: perTarget, limiter: rate.NewLimiter(0, firstBurst)}
+	return &ProbeQuota{board: b, perTarget: perTarget, limiter: rate.NewLimiter(0, initialBurst)}
 }
 
-// Take pays for one probe and reports whether the quota had it.
+// Take consumes one probe from the quota and reports whether one was available.
 func (s *ProbeQuota) Take(now time.Time) bool {
 	return s.limiter.AllowN(now, 1)
 }
 
-// probed returns how many targets of a list are probed: those of evacuated zones
-// get no probes, which would take slots from the calls that end there.
-func probed(list []blackboard.Target) (n int) {
+// countProbed returns how many targets of a list may be probed. Targets in evacuated zones are
+// not probed: a probe would take a slot from calls that are finishing there.
+func countProbed(list []blackboard.Target) (n int) {
 	for i := range list {
 		if !list[i].Evacuated {
 			n++
@@ -50,8 +50,8 @@
 	return n
 }
 
-// Left returns how much of a second's probes is left, 1 being half of it or more.
-func (s *ProbeQuota) Left(now time.Time) float64 {
+// Remaining returns the unused fraction of the quota, scaled so that half a burst or more is 1.
+func (s *ProbeQuota) Remaining(now time.Time) float64 {
 	burst := float64(s.limiter.Burst())
 	if burst == 0 {
 		return 0
@@ -59,18 +59,18 @@
 	return min(1, 2*s.limiter.TokensAt(now)/burst)
 }
 
-// Update takes in the targets and hosts on the board.
+// Update recomputes the rate from the targets, routes and members on the board.
 func (s *ProbeQuota) Update() {
 	targets := 0
 	routes := s.board.Routes.Load()
 	for key, list := range s.board.Targets.Load().ByService {
-		// Entries of services that no configuration names may be anyone's.
+		// Services that are not configured do not count: anyone may have written their entries.
 		if routes == nil || routes.Service(key.Service) != nil {
-			targets += probed(list)
+			targets += countProbed(list)
 		}
 	}
 	hosts := max(1, len(s.board.Members.Load().Members))
-	limit := quotaUsed * s.perTarget * float64(targets) / float64(hosts)
+	limit := budgetFraction * s.perTarget * float64(targets) / float64(hosts)
 	s.limiter.SetLimit(rate.Limit(limit))
 	s.limiter.SetBurst(max(1, int(limit)))
 }
--- a/placer/probequota_test.go
+++ b/placer/probequota_test.go
@@ -10,10 +10,9 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// All hosts have just started, and callers that waited for them come at once. Their calls
-// are placed by probes and not by guesses: the share begins with a second's probes,
-// and with no more than these.
-func TestShareBeginsFull(t *testing.T) {
+// After all hosts restart, the calls of waiting callers must be placed by probes. The quota
+// therefore starts with one second's worth of probes, and no more.
+func TestProbeQuotaStartsFull(t *testing.T) {
 	board := blackboard.New()
 	defer board.Close()
 	key := blackboard.ServiceKey{Workspace: routing.Workspace, Service: "s"}
@@ -21,12 +20,12 @@
 	s := NewProbeQuota(board, 10)
 	s.Update()
 	now := time.Now()
-	assert.Equal(t, s.Left(now), 1.0)
+	assert.Equal(t, s.Remaining(now), 1.0)
 	taken := 0
 	for s.Take(now) && taken < 1000 {
 		taken++
 	}
-	assert.Equal(t, taken, int(10*5*quotaUsed))
-	assert.Equal(t, s.Left(now), 0.0)
+	assert.Equal(t, taken, int(10*5*budgetFraction))
+	assert.Equal(t, s.Remaining(now), 0.0)
 	assert.Check(t, s.Take(now.Add(time.Second)))
 }
--- a/placer/regions.go
+++ b/placer/regions.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Regions are the regions of availability zones, by zone.
+// Regions maps availability zones to their regions.
 type Regions map[string]string
 
-// Allow reports whether a call that may reach certain regions alone, or all if there are none,
-// may reach a zone. One whose region is not known may be anywhere.
-func (r Regions) Allow(zone string, only []string) bool {
-	if len(only) == 0 {
+// Allow reports whether a call restricted to the given regions may go to a zone. An empty list
+// allows all zones; otherwise a zone of unknown region is not allowed.
+func (r Regions) Allow(zone string, allowed []string) bool {
+	if len(allowed) == 0 {
 		return true
 	}
 	region, known := r[zone]
-	return known && slices.Contains(only, region)
+	return known && slices.Contains(allowed, region)
 }
--- a/placer/replaced_probe_test.go
+++ b/placer/replaced_probe_test.go
@@ -14,23 +14,24 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// successor answers at an address that was another target's.
-type successor struct{}
+// replacementTarget answers at an address that belonged to another target before.
+type replacementTarget struct{}
 
-func (successor) RoundTrip(*http.Request, blackboard.Target, upstream.SendOptions) upstream.Result {
+func (replacementTarget) RoundTrip(*http.Request, blackboard.Target, upstream.SendOptions) upstream.Result {
 	h := http.Header{"Instance": {"t2"}, "Load": {"0,0"}, "Limit": {"1"}}
 	return upstream.Result{Sent: true, Response: &http.Response{StatusCode: 200, Header: h, Body: io.NopCloser(strings.NewReader(""))}}
 }
 
-// Guards against taking what the next target at an address says of itself for the last one's word.
-func TestProbeAnsweredByAnotherTargetSaysNothing(t *testing.T) {
-	l := newRestartLab(t)
-	tg := l.list(100, false)
-	l.p.deps.Upstream = successor{}
+// Guards against attributing the signals of the target that now has an address to the one that
+// had it before.
+func TestProbeAnsweredByAnotherTargetIsIgnored(t *testing.T) {
+	l := newTestPlacer(t)
+	tg := l.listRun(100, false)
+	l.p.deps.Upstream = replacementTarget{}
 	l.p.deps.Contract = &targetapi.Contract{Instance: "Instance", Load: "Load", ReadLoad: readSimLoad, Limit: "Limit"}
 	l.p.deps.OnSignals = func(blackboard.ServiceKey, blackboard.Target, targetapi.Signals) { t.Error("heard") }
-	tg.probing = make(chan struct{})
-	l.p.probeTarget(l.p.service(restartKey), tg, tg.info, "/h", 1)
-	assert.Check(t, tg.figures.At.IsZero(), "no load was told")
-	assert.Check(t, !tg.open(time.Now()), "it is left alone for a while")
+	tg.probeDone = make(chan struct{})
+	l.p.probeTarget(l.p.service(testKey), tg, tg.info, "/h", 1)
+	assert.Check(t, tg.figures.At.IsZero(), "a load report was recorded")
+	assert.Check(t, !tg.available(time.Now()), "the target is not backed off")
 }
--- a/placer/replaced_test.go
+++ b/placer/replaced_test.go
@@ -11,38 +11,38 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Garbled bytes stand where a target's answer is due and read as 421, which needs no echo
-// of the request. The platform lists the target as before. It was left out for as long as
-// it ran, and one such answer of each took all targets of a service away from this host.
-func TestOneAnswerDoesNotTakeATargetOutForGood(t *testing.T) {
+// A corrupted response reads as status 421, which needs no echo of the request ID, while the
+// platform still lists the target. Guards against excluding the target for the rest of its run:
+// one such response from each would leave the host without targets.
+func TestReplacedAnswerIsNotPermanent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newRestartLab(t)
-		garbled := l.list(100, false)
-		l.ended(garbled, pick.Replaced)
-		assert.Check(t, !garbled.open(time.Now()))
-		time.Sleep(firstReplacedRest)
+		l := newTestPlacer(t)
+		tg := l.listRun(100, false)
+		l.endCall(tg, pick.Replaced)
+		assert.Check(t, !tg.available(time.Now()))
+		time.Sleep(initialReplacedBackoff)
 		for range 3 {
-			assert.Check(t, l.list(100, false).open(time.Now()), "listed as before")
+			assert.Check(t, l.listRun(100, false).available(time.Now()), "target is listed as before")
 		}
-		assert.Equal(t, len(l.hints), 0, "the board's mark lasts as long as the run")
-		l.ended(garbled, pick.OK)
-		l.ended(garbled, pick.Replaced)
-		time.Sleep(firstReplacedRest)
-		assert.Check(t, garbled.open(time.Now()), "a good answer in between makes it one fault again")
+		assert.Equal(t, len(l.leavingHints), 0, "a leaving mark on the board would last for the whole run")
+		l.endCall(tg, pick.OK)
+		l.endCall(tg, pick.Replaced)
+		time.Sleep(initialReplacedBackoff)
+		assert.Check(t, tg.available(time.Now()), "a good answer in between resets the backoff")
 	})
 }
 
-// Another target has the address, and the record does not tell so for ten minutes, since
-// the store is out. Each call that goes there is refused and costs its caller an attempt:
-// there must be few of them.
+// Another target has the address, and the platform's record does not show it for ten minutes
+// because of a store outage. Each call sent there is refused and costs its caller an attempt,
+// so there must be few of them.
 func TestTargetThatIsReplacedIsTriedSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newRestartLab(t)
-		gone := l.list(100, false)
+		l := newTestPlacer(t)
+		gone := l.listRun(100, false)
 		tries := 0
 		for start := time.Now(); time.Since(start) < 10*time.Minute; time.Sleep(100 * time.Millisecond) {
-			if gone.open(time.Now()) {
-				l.ended(gone, pick.Replaced)
+			if gone.available(time.Now()) {
+				l.endCall(gone, pick.Replaced)
 				tries++
 			}
 		}
@@ -51,15 +51,16 @@
 	})
 }
 
-// The record confirms that the target leaves: that lasts as long as its run.
+// Once the platform's record confirms that the target is leaving, it gets no calls for the rest
+// of its run.
 func TestLeavingByTheRecordLasts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := newRestartLab(t)
+		l := newTestPlacer(t)
 		for _, run := range []ports.Incarnation{100, 200} {
-			l.ended(l.list(run, false), pick.Replaced)
-			left := l.list(run, true)
+			l.endCall(l.listRun(run, false), pick.Replaced)
+			left := l.listRun(run, true)
 			time.Sleep(time.Hour)
-			assert.Check(t, !left.open(time.Now()))
+			assert.Check(t, !left.available(time.Now()))
 		}
 	})
 }
--- a/placer/restart_test.go
+++ b/placer/restart_test.go
@@ -16,17 +16,17 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-var restartKey = blackboard.ServiceKey{Workspace: routing.Workspace, Service: "s"}
+var testKey = blackboard.ServiceKey{Workspace: routing.Workspace, Service: "s"}
 
-// restartLab is a placer with one target, as the platform lists it.
-type restartLab struct {
-	board *blackboard.Board
-	p     *Placer
-	hints []blackboard.Target
+// testPlacer is a placer and the board that it reads its targets from.
+type testPlacer struct {
+	board        *blackboard.Board
+	p            *Placer
+	leavingHints []blackboard.Target
 }
 
-func newRestartLab(t *testing.T) *restartLab {
-	l := &restartLab{board: blackboard.New()}
+func newTestPlacer(t *testing.T) *testPlacer {
+	l := &testPlacer{board: blackboard.New()}
 	t.Cleanup(func() { _ = l.board.Close() })
 	l.p = New(Deps{
 		Board:   l.board,
@@ -34,94 +34,95 @@
 		Metrics: metrics.New(),
 		Log:     zap.NewNop(),
 		OnLeaving: func(_ blackboard.ServiceKey, t blackboard.Target) {
-			l.hints = append(l.hints, t)
+			l.leavingHints = append(l.leavingHints, t)
 		},
 	})
 	return l
 }
 
-// list has the platform list a run of the target, and returns what the placer keeps of it.
-func (l *restartLab) list(run ports.Incarnation, leaving bool) *target {
+// listRun publishes one target with the given incarnation and returns the placer's state for
+// it.
+func (l *testPlacer) listRun(run ports.Incarnation, leaving bool) *target {
 	info := blackboard.Target{ID: "a", Incarnation: run, Slots: 2, Leaving: leaving}
-	l.board.Targets.Store(&blackboard.Targets{ByService: map[blackboard.ServiceKey][]blackboard.Target{restartKey: {info}}})
-	s := l.p.service(restartKey)
+	l.board.Targets.Store(&blackboard.Targets{ByService: map[blackboard.ServiceKey][]blackboard.Target{testKey: {info}}})
+	s := l.p.service(testKey)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refresh(time.Now())
 	return s.list[0]
 }
 
-// hold is a call that is at the target.
-func (l *restartLab) hold(t *target) *held {
+// startCall returns the grant of a call in flight at the target.
+func (l *testPlacer) startCall(t *target) *heldGrant {
 	t.figures.InFlight++
-	return &held{placer: l.p, service: l.p.service(restartKey), target: t, info: t.info, takes: 1}
+	return &heldGrant{placer: l.p, service: l.p.service(testKey), target: t, info: t.info, expectedWork: 1}
 }
 
-// A target leaves, rests after failures and has calls in flight. It starts again under its
-// name: the new run takes calls at once, and nothing of before is held against it.
-func TestNothingOfAFormerRunIsHeldAgainstTheNext(t *testing.T) {
-	l := newRestartLab(t)
+// A target is leaving, backs off after failures and has calls in flight. It restarts under the
+// same name: the new run takes calls at once and inherits no state.
+func TestStateOfAFormerRunIsNotCarriedOver(t *testing.T) {
+	l := newTestPlacer(t)
 	now := time.Now()
-	old := l.list(100, true)
-	old.unreachable(now)
+	old := l.listRun(100, true)
+	old.markUnreachable(now)
 	old.health.Eject(now, l.p.rng)
-	call := l.hold(old)
-	assert.Check(t, !old.open(now))
-	next := l.list(200, false)
-	assert.Check(t, next.open(now))
+	call := l.startCall(old)
+	assert.Check(t, !old.available(now))
+	next := l.listRun(200, false)
+	assert.Check(t, next.available(now))
 	assert.Equal(t, next.figures.InFlight, 0)
 	assert.Check(t, next.figures.At.IsZero())
 	call.Release(pick.Report{Class: pick.BrokeOff, TargetLoad: targetapi.Load{Running: 9, Slots: 2, Slowdown: 7}})
 	assert.Equal(t, next.figures.InFlight, 0)
-	assert.Check(t, next.figures.At.IsZero(), "a late answer told of the former run")
-	assert.Check(t, next.open(now))
-	assert.Equal(t, l.p.count.late.Value(), int64(1))
+	assert.Check(t, next.figures.At.IsZero(), "a late answer of the former run was recorded")
+	assert.Check(t, next.available(now))
+	assert.Equal(t, l.p.count.lateResults.Value(), int64(1))
 }
 
-// An answer of the former run, on its way while the target starts again, says that it is
-// leaving. The hint names the former run, so that the board does not drain the new one.
+// An answer of the former run, in flight while the target restarts, says that it is leaving.
+// The hint names the former run, so that the board does not drain the new one.
 func TestLateHintNamesItsRun(t *testing.T) {
-	l := newRestartLab(t)
-	call := l.hold(l.list(100, false))
-	next := l.list(200, false)
+	l := newTestPlacer(t)
+	call := l.startCall(l.listRun(100, false))
+	next := l.listRun(200, false)
 	call.Release(pick.Report{Class: pick.Leaving})
-	assert.Equal(t, len(l.hints), 1)
-	view, changed := l.board.Targets.Load().WithLeaving(restartKey, l.hints[0].Run(), time.Now())
-	assert.Check(t, !changed && !view.ByService[restartKey][0].Leaving)
-	assert.Check(t, next.open(time.Now()))
-	_, changed = l.board.Targets.Load().WithLeaving(restartKey, next.info.Run(), time.Now())
+	assert.Equal(t, len(l.leavingHints), 1)
+	view, changed := l.board.Targets.Load().WithLeaving(testKey, l.leavingHints[0].Run(), time.Now())
+	assert.Check(t, !changed && !view.ByService[testKey][0].Leaving)
+	assert.Check(t, next.available(time.Now()))
+	_, changed = l.board.Targets.Load().WithLeaving(testKey, next.info.Run(), time.Now())
 	assert.Check(t, changed)
 }
 
-// A word of the same run keeps what is known, also one that does not tell of its start.
+// A list entry of the same run keeps the state, also one without an incarnation.
 func TestSameRunKeepsWhatIsKnown(t *testing.T) {
-	l := newRestartLab(t)
-	first := l.list(100, false)
-	assert.Equal(t, l.list(100, false), first)
-	assert.Equal(t, l.list(0, false), first)
+	l := newTestPlacer(t)
+	first := l.listRun(100, false)
+	assert.Equal(t, l.listRun(100, false), first)
+	assert.Equal(t, l.listRun(0, false), first)
 }
 
-// A target starts again under its name while calls begin, end in every way and its words
-// come and go. The calls reckoned with at it are always those of its present run, and after
-// each start it takes calls at once.
+// A target restarts under its name while calls start and end in every way and its list entry is
+// repeated. The calls in flight that the placer counts are always those of the current run, and
+// after each restart the target takes calls at once.
 func TestRandomHistoriesOfRestarts(t *testing.T) {
 	classes := []pick.Class{pick.OK, pick.Failed, pick.TimedOut, pick.BrokeOff, pick.Shed, pick.NotSent, pick.Canceled, pick.Leaving}
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 8))
-		l := newRestartLab(t)
+		l := newTestPlacer(t)
 		run := ports.Incarnation(1)
-		now := l.list(run, false)
-		var calls []*held
+		cur := l.listRun(run, false)
+		var calls []*heldGrant
 		for range 100 {
 			switch rng.IntN(5) {
 			case 0:
 				run++
-				now = l.list(run, false)
-				assert.Check(t, now.open(time.Now()), "seed %d: run %d", seed, run)
+				cur = l.listRun(run, false)
+				assert.Check(t, cur.available(time.Now()), "seed %d: run %d", seed, run)
 			case 1:
-				assert.Equal(t, l.list(run, false), now, "seed %d: the same run", seed)
+				assert.Equal(t, l.listRun(run, false), cur, "seed %d: the same run", seed)
 			case 2, 3:
-				calls = append(calls, l.hold(now))
+				calls = append(calls, l.startCall(cur))
 			case 4:
 				if len(calls) == 0 {
 					continue
@@ -136,7 +137,7 @@
 					own++
 				}
 			}
-			assert.Equal(t, now.figures.InFlight, own, "seed %d: run %d", seed, run)
+			assert.Equal(t, cur.figures.InFlight, own, "seed %d: run %d", seed, run)
 		}
 	}
 }
--- a/placer/service.go
+++ b/placer/service.go
@@ -15,71 +15,75 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// service is one service as this host sees it.
+// service is the state that this host keeps for one service.
 type service struct {
 	key   blackboard.ServiceKey
 	zone  string
 	board *blackboard.Board
-	// regions are those of the availability zones.
+	// regions maps availability zones to their regions.
 	regions Regions
 
-	mu      sync.Mutex
-	rng     *rand.Rand
-	seen    uint64 // version of the board's targets that was taken in
-	any     bool
-	targets map[ports.HostID]*target
-	list    []*target // the same, for choices, in the order of shown
-	// shown is the board's list that was taken in, at the places of list in it.
-	shown []blackboard.Target
-	at    []int
-	// subset is the part of the service that this host chooses among, whole is set if it is
-	// all.
+	mu             sync.Mutex
+	rng            *rand.Rand
+	targetsVersion uint64 // version of the board's targets at the last refresh
+	initialized    bool   // set after the first refresh
+	targets        map[ports.HostID]*target
+	list           []*target // the values of targets, in the order of listed
+	// listed is the board's list at the last refresh, and indexes[i] the index of list[i] in
+	// it.
+	listed  []blackboard.Target
+	indexes []int
+	// subset is the part of the service's targets that this host chooses from; with useAll it
+	// chooses from all of them.
 	subset placing.Subset
-	whole  bool
+	useAll bool
 	limits coldLimits
-	// evacuated is how many of them are in zones that are to be empty.
+	// evacuated is the number of targets in list that are in evacuated zones.
 	evacuated int
 	failures  health.Service
-	// near and far are what targets of the own zone and of others told of late.
+	// near and far are moving averages of the load reports of targets in the own zone and in
+	// other zones.
 	near, far placing.Usual
-	// nearProbes and farProbes are how long targets that tell nothing take to answer.
-	nearProbes, farProbes placing.ProbeTimes
-	// silent counts answers to probes that told nothing of the load, up to silentFrom,
-	// and is 0 again once one did.
-	silent int
-	// work is the learned time of one call at an idle target at its usual pace.
-	work time.Duration
+	// nearProbeTimes and farProbeTimes are the usual probe response times of targets that do
+	// not report their load.
+	nearProbeTimes, farProbeTimes placing.ProbeTimes
+	// loadlessProbes counts consecutive probe responses without a load report, up to
+	// loadlessThreshold. A load report resets it.
+	loadlessProbes int
+	// workTime is the learned duration of one call at an idle target of normal speed.
+	workTime time.Duration
 }
 
-// refresh takes in the configuration and the platform's list, and reports whether the list
-// changed. The lock is held.
+// refresh reads the configuration and the target list from the board, and reports whether the
+// list changed. The caller holds the lock.
 func (s *service) refresh(now time.Time) bool {
-	s.limits = limitsOf(s.board, s.key.Service)
+	s.limits = coldLimitsOf(s.board, s.key.Service)
 	version := s.board.Targets.Version()
-	if s.any && version == s.seen {
+	if s.initialized && version == s.targetsVersion {
 		return false
 	}
 	list := s.board.Targets.Load().ByService[s.key]
-	changed := !s.any || !sameSlice(list, s.shown)
-	s.seen, s.any = version, true
+	changed := !s.initialized || !sameSlice(list, s.listed)
+	s.targetsVersion, s.initialized = version, true
 	if changed {
 		s.merge(now, list)
 	}
 	return changed
 }
 
-// sameSlice reports whether two slices are one and the same. Lists on the board are never
-// written to, so they are equal then.
+// sameSlice reports whether two slices share their elements. Lists on the board are immutable,
+// so shared elements mean equal lists.
 func sameSlice(a, b []blackboard.Target) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// merge takes in a list. What is known of the targets whose entries have not changed stays as it
-// is: one change among thousands of targets costs a look at each. The lock is held.
+// merge applies a new target list. Targets whose entries are unchanged keep their state
+// untouched, so that one change among thousands of targets costs one comparison each. The
+// caller holds the lock.
 func (s *service) merge(now time.Time, list []blackboard.Target) {
-	s.fit(list)
-	before, at, old := s.shown, s.at, s.list
-	s.list, s.at = make([]*target, 0, len(old)), make([]int, 0, len(old))
+	s.fitSubset(list)
+	before, at, old := s.listed, s.indexes, s.list
+	s.list, s.indexes = make([]*target, 0, len(old)), make([]int, 0, len(old))
 	s.evacuated = 0
 	for i := range list {
 		info := &list[i]
@@ -87,7 +91,7 @@
 			continue
 		}
 		for len(at) > 0 && before[at[0]].ID < info.ID {
-			s.forget(old[0])
+			s.remove(old[0])
 			at, old = at[1:], old[1:]
 		}
 		var t *target
@@ -97,24 +101,25 @@
 			at, old = at[1:], old[1:]
 		}
 		if !same {
-			t = s.renewed(now, t, *info)
+			t = s.targetFor(now, t, *info)
 		}
 		if info.Evacuated {
 			s.evacuated++
 		}
-		s.list, s.at = append(s.list, t), append(s.at, i)
+		s.list, s.indexes = append(s.list, t), append(s.indexes, i)
 	}
 	for _, t := range old {
-		s.forget(t)
+		s.remove(t)
 	}
-	s.shown = list
+	s.listed = list
 }
 
-// fit sets how many of a list's targets this host chooses among. The lock is held.
+// fitSubset sizes the subset for a target list. The caller holds the lock.
 //
-// Cold targets have owners among the hosts, which must not pass them over.
-func (s *service) fit(list []blackboard.Target) {
-	if s.whole || s.limits.bounded() {
+// Services with limits for cold targets use all targets: each host holds a quota for particular
+// cold targets and must not skip them.
+func (s *service) fitSubset(list []blackboard.Target) {
+	if s.useAll || s.limits.bounded() {
 		s.subset.All()
 		return
 	}
@@ -127,20 +132,20 @@
 	s.subset.Fit(near, len(list)-near)
 }
 
-// widen has the host choose among all targets from now on, if it does not yet: none of those that
-// it chose among takes calls. It reports whether that made a difference. The lock is held.
+// widen makes the host choose from all targets from now on, because none of its subset takes
+// calls. It reports whether that added any target. The caller holds the lock.
 func (s *service) widen(now time.Time) bool {
-	if s.whole || len(s.list) == len(s.shown) {
+	if s.useAll || len(s.list) == len(s.listed) {
 		return false
 	}
-	s.whole = true
-	s.merge(now, s.shown)
+	s.useAll = true
+	s.merge(now, s.listed)
 	return true
 }
 
-// renewed returns the target that an entry names: the one that is known, or another if it is not
-// or has started anew. The lock is held.
-func (s *service) renewed(now time.Time, t *target, info blackboard.Target) *target {
+// targetFor returns the state for a list entry: the updated existing state, or a new one if the
+// target is new or has restarted. The caller holds the lock.
+func (s *service) targetFor(now time.Time, t *target, info blackboard.Target) *target {
 	if t == nil || info.Incarnation.Replaces(t.info.Incarnation) {
 		t = newTarget(info, s.zone)
 		t.presumeCold(now, blackboard.Target{}, info, s.limits)
@@ -152,88 +157,91 @@
 	return t
 }
 
-// forget drops a target that is no longer chosen among. The lock is held.
-func (s *service) forget(t *target) {
+// remove drops the state of a target that is no longer listed or in the subset. The caller
+// holds the lock.
+func (s *service) remove(t *target) {
 	if s.targets[t.info.ID] == t {
 		delete(s.targets, t.info.ID)
 	}
 }
 
-// holds reports whether what a call or a probe to a target shows still says something:
-// the target is listed, and has not started anew since. The lock is held.
+// isCurrent reports whether t is the current state of a listed target, so that the result of a
+// call or probe sent to it still applies. The caller holds the lock.
 //
-// Errors and times of calls of a former run say nothing of the next. The new run is another
-// *target, so that comparing the two is enough.
-func (s *service) holds(t *target) bool { return s.targets[t.info.ID] == t }
+// Errors and latencies of a former run say nothing about the next. A restarted target gets a
+// new *target, so comparing pointers suffices.
+func (s *service) isCurrent(t *target) bool { return s.targets[t.info.ID] == t }
 
-// usual is what stands for a target that told nothing for a while.
-func (s *service) usual(t *target) *placing.Usual {
+// zoneAverages returns the averages used in place of a target's own load report when that is
+// too old.
+func (s *service) zoneAverages(t *target) *placing.Usual {
 	if t.figures.Far {
 		return &s.far
 	}
 	return &s.near
 }
 
-// told takes in what a target says of itself. The lock is held.
-func (s *service) told(now time.Time, t *target, l targetapi.Load) {
-	s.silent = 0
+// recordLoad records a load report of a target. The caller holds the lock.
+func (s *service) recordLoad(now time.Time, t *target, l targetapi.Load) {
+	s.loadlessProbes = 0
 	t.figures.Told(now, l)
-	s.usual(t).Learn(l, t.figures.Others, t.figures.Slots)
+	s.zoneAverages(t).Learn(l, t.figures.Others, t.figures.Slots)
 }
 
-// silentFrom is how many answers to probes that told no load it takes for a service to
-// count as one whose targets tell nothing.
-const silentFrom = 8
+// loadlessThreshold is the number of consecutive probe responses without a load report after
+// which a service counts as one whose targets do not report their load.
+const loadlessThreshold = 8
 
-// isSilent reports whether the targets of the service tell nothing of their load. The lock
-// is held.
-func (s *service) isSilent() bool { return s.silent >= silentFrom }
+// reportsNoLoad reports whether the targets of the service do not report their load. The caller
+// holds the lock.
+func (s *service) reportsNoLoad() bool { return s.loadlessProbes >= loadlessThreshold }
 
-// answeredSilently takes in that a target answered a probe and told nothing of its load.
-// The lock is held.
-func (s *service) answeredSilently(now time.Time, t *target, took time.Duration) {
-	s.silent = min(s.silent+1, silentFrom)
-	times := &s.nearProbes
+// recordLoadlessProbe records a probe response without a load report; the target's load is
+// estimated from the response time. The caller holds the lock.
+func (s *service) recordLoadlessProbe(now time.Time, t *target, took time.Duration) {
+	s.loadlessProbes = min(s.loadlessProbes+1, loadlessThreshold)
+	times := &s.nearProbeTimes
 	if t.figures.Far {
-		times = &s.farProbes
+		times = &s.farProbeTimes
 	}
 	times.Learn(took)
 	l := t.figures.Answered(now, took, times.Usual())
-	s.usual(t).Learn(l, t.figures.Others, t.figures.Slots)
+	s.zoneAverages(t).Learn(l, t.figures.Others, t.figures.Slots)
 }
 
-// best returns the cheapest of some targets that can queue one more call, or nil: of
-// those that told something of late, and only if there is none, of the others. The
-// lock is held.
+// best returns the cheapest target of a list that can queue one more call, and its cost, or
+// nil. Targets with a recent load report and no outstanding probe take precedence. The caller
+// holds the lock.
 //
-// A target that let a probe wait is slow or full, and by what is usual it would look cheaper than
-// those that told the truth.
-func (s *service) best(now time.Time, way float64, list []ranked) (*target, float64) {
+// A target that has not answered its probe yet is slow or full, but by the zone averages it
+// could look cheaper than targets that reported a high load.
+func (s *service) best(now time.Time, zoneCost float64, list []ranked) (*target, float64) {
 	var found *target
 	least := 0.0
 	for _, r := range list {
-		if !r.open(now) || r.figures.Full(now) || s.spent(now, r.target) {
+		if !r.available(now) || r.figures.Full(now) || s.overColdQuota(now, r.target) {
 			continue
 		}
-		cost := r.figures.Cost(now, way)
-		if found == nil || better(r.known(now), found.known(now), cost, least) {
+		cost := r.figures.Cost(now, zoneCost)
+		if found == nil || preferable(r.loadKnown(now), found.loadKnown(now), cost, least) {
 			found, least = r.target, cost
 		}
 	}
 	return found, least
 }
 
-// better compares a target with the best so far: first by whether it told anything of
-// late, then by cost.
-func better(known, bestKnown bool, cost, least float64) bool {
+// preferable reports whether a target is better than the best one so far: first by whether its
+// load is known, then by cost.
+func preferable(known, bestKnown bool, cost, least float64) bool {
 	if known != bestKnown {
 		return known
 	}
 	return cost < least
 }
 
-// describe says what a refusal rests on: how many targets there are, how many take
-// calls and could queue one more, the cheapest of these, and how long a call takes.
+// describe returns the state of the service for the log line of a refusal: how many targets
+// there are, how many are available and cold, the cost of the cheapest one that can queue a
+// call, the work time and the age of the oldest load report.
 func (s *service) describe() string {
 	now := time.Now()
 	s.mu.Lock()
@@ -242,11 +250,11 @@
 	open, cold := 0, 0
 	oldest := time.Duration(0)
 	for _, t := range s.targets {
-		if !t.open(now) {
+		if !t.available(now) {
 			continue
 		}
 		open++
-		if s.limited(now, t) {
+		if s.coldLimited(now, t) {
 			cold++
 		}
 		oldest = max(oldest, t.figures.Age(now))
@@ -257,47 +265,47 @@
 		cheapest = strconv.FormatFloat(cost, 'f', 2, 64)
 	}
 	return fmt.Sprintf("targets=%d open=%d evacuated=%d cold=%d cheapest=%s work=%s oldest_figure=%s list=%d",
-		len(s.targets), open, s.evacuated, cold, cheapest, s.work.Round(time.Millisecond), oldest.Round(time.Millisecond), s.seen)
+		len(s.targets), open, s.evacuated, cold, cheapest, s.workTime.Round(time.Millisecond), oldest.Round(time.Millisecond), s.targetsVersion)
 }
 
-// whyNone returns why there is no target to choose from.
-func (s *service) whyNone(c candidates) outcome.Reason {
+// refusalReason returns why there are no candidates.
+func (s *service) refusalReason(c candidates) outcome.Reason {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case len(s.list) > 0 && s.evacuated == len(s.list):
 		return outcome.ReasonEvacuated
-	case c.coldSpent > 0:
+	case c.coldOverQuota > 0:
 		return outcome.ReasonOverload
 	default:
 		return outcome.ReasonNoTarget
 	}
 }
 
-// mayWait is how often a choice may wait for a better target.
-func (s *service) mayWait() int {
+// maxWaits returns how often one choice may wait for a better target.
+func (s *service) maxWaits() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return placing.Waits(s.work)
+	return placing.Waits(s.workTime)
 }
 
-// workWeight is the weight of one answer in the learned work time.
-const workWeight = 0.05
+// workTimeWeight is the weight of one sample in the moving average of the work time.
+const workTimeWeight = 0.05
 
-// learn takes in how long an answer took that was reckoned to take so many usual work
-// times.
-func (s *service) learn(took time.Duration, takes float64) {
-	unit := time.Duration(float64(took) / max(takes, 0.5))
-	if s.work == 0 {
-		s.work = unit
+// recordWorkTime updates the work time with the latency of a call that was expected to take
+// expectedWork work times.
+func (s *service) recordWorkTime(took time.Duration, expectedWork float64) {
+	unit := time.Duration(float64(took) / max(expectedWork, 0.5))
+	if s.workTime == 0 {
+		s.workTime = unit
 		return
 	}
-	s.work += time.Duration(workWeight * float64(unit-s.work))
+	s.workTime += time.Duration(workTimeWeight * float64(unit-s.workTime))
 }
 
-// record takes in whether a call failed at a target, and leaves the target out
-// if it fails more than the others.
-func (s *service) record(now time.Time, t *target, failed bool) bool {
+// recordOutcome records whether a call failed at a target, and ejects the target if its failure
+// rate stands out. It reports whether it did. The caller holds the lock.
+func (s *service) recordOutcome(now time.Time, t *target, failed bool) bool {
 	s.failures.Record(failed)
 	if !t.health.Record(now, failed, &s.failures) {
 		return false
--- a/placer/service_test.go
+++ b/placer/service_test.go
@@ -12,31 +12,31 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// fullTarget told a moment ago that calls wait there.
+// fullTarget reported a moment ago that calls are queued there.
 func fullTarget(id ports.HostID, now time.Time) *target {
-	t := silentTarget(id)
+	t := unreportedTarget(id)
 	t.figures.Told(now, targetapi.Load{Running: 2, Waiting: 2, Slots: 2, Slowdown: 1})
 	return t
 }
 
-// silentTarget never told anything.
-func silentTarget(id ports.HostID) *target {
+// unreportedTarget never reported its load.
+func unreportedTarget(id ports.HostID) *target {
 	t := newTarget(blackboard.Target{ID: id, Slots: 2}, "")
 	t.figures.Usual = placing.NewUsual()
 	return t
 }
 
-// All targets are full, and two of three let this host's probes wait or were not
-// asked. By what is usual these two look cheaper. The caller is better served by the one
-// that told how full it is: the silent ones are as full, or slow.
-func TestTargetThatToldIsTakenBeforeASilentOne(t *testing.T) {
+// All targets are full; one reported so, one still owes the answer to a probe and one was not
+// probed. By the zone averages the latter two look cheaper, but they are just as full, or slow.
+// The call must go to the target whose load is known.
+func TestTargetWithKnownLoadIsPreferred(t *testing.T) {
 	now := time.Now()
 	s := &service{targets: map[ports.HostID]*target{}}
-	told, notAsked, owing := fullTarget("told", now), silentTarget("not asked"), fullTarget("owing", now)
-	owing.probing = make(chan struct{})
-	assert.Check(t, notAsked.figures.Cost(now, 0) < told.figures.Cost(now, 0))
-	got, _ := s.best(now, 0, []ranked{{target: notAsked}, {target: owing}, {target: told}})
-	assert.Equal(t, got, told)
-	got, _ = s.best(now, 0, []ranked{{target: notAsked}, {target: owing}})
-	assert.Equal(t, got, notAsked, "better than none")
+	reported, notProbed, pending := fullTarget("told", now), unreportedTarget("not asked"), fullTarget("owing", now)
+	pending.probeDone = make(chan struct{})
+	assert.Check(t, notProbed.figures.Cost(now, 0) < reported.figures.Cost(now, 0))
+	got, _ := s.best(now, 0, []ranked{{target: notProbed}, {target: pending}, {target: reported}})
+	assert.Equal(t, got, reported)
+	got, _ = s.best(now, 0, []ranked{{target: notProbed}, {target: pending}})
+	assert.Equal(t, got, notProbed, "a target of unknown load is better than none")
 }
--- a/placer/target.go
+++ b/placer/target.go
@@ -11,38 +11,38 @@
 )
 
 const (
-	// firstRest is how long a target that can not be reached is left alone, and
-	// maxRest the most after further failures.
-	firstRest = 250 * time.Millisecond
-	maxRest   = 2 * time.Second
-	// firstReplacedRest is how long a target is left alone whose address answered that it
-	// is another's: the time in which each host knows what the record says of that. It
-	// doubles with each such answer up to maxReplacedRest, for when the store is out.
-	firstReplacedRest = 2 * time.Second
-	maxReplacedRest   = 32 * time.Second
-	// shedRest is how long a target that refused a call gets no other from this
-	// host: about the work time of one call, after which a slot is free again.
-	shedRest = 50 * time.Millisecond
+	// initialBackoff is how long an unreachable target gets no calls, maxBackoff the upper
+	// bound after further failures.
+	initialBackoff = 250 * time.Millisecond
+	maxBackoff     = 2 * time.Second
+	// initialReplacedBackoff is how long a target gets no calls after its address answered for
+	// another target: enough time for each host to see the platform's record of the change. It
+	// doubles with each such answer up to maxReplacedBackoff, for store outages.
+	initialReplacedBackoff = 2 * time.Second
+	maxReplacedBackoff     = 32 * time.Second
+	// shedBackoff is how long a target that shed a call gets no further calls from this host:
+	// about the duration of one call, after which a slot is free again.
+	shedBackoff = 50 * time.Millisecond
 )
 
-// target is what this host knows of one target.
+// target is the state that this host keeps for one run of a target.
 type target struct {
 	info    blackboard.Target
 	figures placing.Figures
 	health  health.State
-	// cold is what this host believes of the target's being cold, quota what it may send
-	// there meanwhile.
+	// cold is the estimated warm-up state of the target, quota this host's share of the calls
+	// to it while it is cold.
 	cold  coldstart.Belief
-	quota quota
-	// restUntil is the end of the time in which the target gets no call.
-	restUntil time.Time
-	rests     int
-	// replacedRest is the last rest after an answer that the address is another's; 0 after a
-	// good answer.
-	replacedRest time.Duration
-	// probing is closed when the answer to a probe on its way is there; nil if
-	// there is none.
-	probing chan struct{}
+	quota coldQuota
+	// backoffUntil is the time until which the target gets no calls; connectFailures is the
+	// number of consecutive failures to reach it.
+	backoffUntil    time.Time
+	connectFailures int
+	// replacedBackoff is the last backoff after an answer for another target; a good answer
+	// resets it to 0.
+	replacedBackoff time.Duration
+	// probeDone is closed when the probe in flight ends; nil if there is none.
+	probeDone chan struct{}
 }
 
 func newTarget(info blackboard.Target, zone string) *target {
@@ -51,7 +51,7 @@
 	return t
 }
 
-// update takes in what the platform lists.
+// update applies the platform's list entry.
 func (t *target) update(info blackboard.Target, zone string) {
 	info.Leaving = info.Leaving || t.info.Leaving
 	t.info = info
@@ -59,82 +59,84 @@
 	t.figures.Far = info.Zone != zone
 }
 
-// open reports whether the target takes calls.
-func (t *target) open(now time.Time) bool {
-	return !t.info.Leaving && !t.info.Evacuated && !now.Before(t.restUntil) && !t.health.Ejected(now) &&
+// available reports whether the target may get a call now.
+func (t *target) available(now time.Time) bool {
+	return !t.info.Leaving && !t.info.Evacuated && !now.Before(t.backoffUntil) && !t.health.Ejected(now) &&
 		(!t.health.Trial() || t.figures.InFlight == 0)
 }
 
-// known reports whether the target told something of late and owes no answer: one
-// that lets a probe wait is slow or full.
-func (t *target) known(now time.Time) bool { return t.probing == nil && t.figures.Known(now) }
+// loadKnown reports whether the target has a recent load report and no outstanding probe: a
+// target that delays its probe is slow or full.
+func (t *target) loadKnown(now time.Time) bool { return t.probeDone == nil && t.figures.Known(now) }
 
-// rest leaves the target alone for a while.
-func (t *target) rest(now time.Time, d time.Duration) {
-	if until := now.Add(d); until.After(t.restUntil) {
-		t.restUntil = until
+// backOff keeps calls off the target for d, or longer if a longer backoff is in force.
+func (t *target) backOff(now time.Time, d time.Duration) {
+	if until := now.Add(d); until.After(t.backoffUntil) {
+		t.backoffUntil = until
 	}
 }
 
-// unreachable leaves a target that can not be reached alone, for longer each time,
-// and reports whether it could be reached before.
-func (t *target) unreachable(now time.Time) bool {
-	t.rest(now, min(firstRest<<min(t.rests, 8), maxRest))
-	t.rests++
-	return t.rests == 1
+// markUnreachable backs off exponentially from a target that cannot be reached, and reports
+// whether this is the first failure.
+func (t *target) markUnreachable(now time.Time) bool {
+	t.backOff(now, min(initialBackoff<<min(t.connectFailures, 8), maxBackoff))
+	t.connectFailures++
+	return t.connectFailures == 1
 }
 
-// reached notes that the target answers, and reports whether it did not before.
-func (t *target) reached() bool {
-	was := t.rests > 0
-	t.rests, t.replacedRest = 0, 0
+// markReachable records that the target answered, and reports whether it was unreachable
+// before.
+func (t *target) markReachable() bool {
+	was := t.connectFailures > 0
+	t.connectFailures, t.replacedBackoff = 0, 0
 	return was
 }
 
-// replaced leaves a target alone whose address answered that it is another's, for longer
-// each time, and reports whether that is news.
+// markReplaced backs off exponentially from a target whose address answered for another target,
+// and reports whether this is the first such answer.
 //
-// Such an answer needs no echo of the request, and garbled bytes read as one. If it is true the
-// record soon says so, which lasts; until then the other target refuses what is sent there, so that
-// trying again after a while costs one attempt and runs nothing.
-func (t *target) replaced(now time.Time) bool {
-	first := t.replacedRest == 0
-	t.replacedRest = min(max(2*t.replacedRest, firstReplacedRest), maxReplacedRest)
-	t.rest(now, t.replacedRest)
+// Such an answer (status 421) need not echo the request ID, so a corrupted response can be
+// mistaken for one. The target is therefore not marked as leaving: if the answer is right, the
+// platform's record confirms it soon. Until then the other target refuses the requests, so a
+// retry after the backoff costs one attempt and runs nothing.
+func (t *target) markReplaced(now time.Time) bool {
+	first := t.replacedBackoff == 0
+	t.replacedBackoff = min(max(2*t.replacedBackoff, initialReplacedBackoff), maxReplacedBackoff)
+	t.backOff(now, t.replacedBackoff)
 	return first
 }
 
-// end takes in how a call ended, and returns what that changed in what this host
-// believes of the target, for the log.
-func (t *target) end(now time.Time, r pick.Report) (news string) {
+// recordEnd records the end of an attempt. It returns the log message of a resulting state
+// change, or "".
+func (t *target) recordEnd(now time.Time, r pick.Report) (change string) {
 	t.figures.InFlight--
 	switch r.Class {
 	case pick.OK:
-		if t.reached() {
-			return newsReached
+		if t.markReachable() {
+			return msgReachable
 		}
 	case pick.Shed:
-		t.rest(now, shedRest)
+		t.backOff(now, shedBackoff)
 	case pick.NotSent:
-		if t.unreachable(now) {
-			return newsUnreachable
+		if t.markUnreachable(now) {
+			return msgUnreachable
 		}
 	case pick.Leaving:
 		t.info.Leaving = true
-		return newsLeaving
+		return msgLeaving
 	case pick.Replaced:
-		if t.replaced(now) {
-			return newsLeaving
+		if t.markReplaced(now) {
+			return msgLeaving
 		}
 	}
 	return ""
 }
 
-// What a host may come to believe of a target by itself.
+// Log messages for changes of a target's state as seen by this host.
 const (
-	newsReached     = "target reached again"
-	newsUnreachable = "target can not be reached"
-	newsLeaving     = "target leaving by its own answer"
-	newsEjected     = "target left out for its failures"
-	newsCold        = "target cold by its own answer"
+	msgReachable   = "target is reachable again"
+	msgUnreachable = "target is unreachable"
+	msgLeaving     = "target leaving by its own answer"
+	msgEjected     = "target excluded because of its failure rate"
+	msgCold        = "target reports that it is cold"
 )
