--- a/backpressure/rest_test.go
+++ b/backpressure/backoff_test.go
@@ -14,14 +14,14 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// Guards against attempts of any kind at a target that rests, and against refusals that do not say
-// when the first of them has rested.
-func TestRestingTargetsArePickedByNothing(t *testing.T) {
+// Guards against attempts of any kind at a backed-off target, and against refusals whose
+// Retry-After is not the end of the first pause.
+func TestBackedOffTargetsAreNotPicked(t *testing.T) {
 	withFleet(t, 2, 2, 0, func(fl *fleet) {
 		p, other := fl.hosts[0].picker, fl.hosts[1].picker
 		p.HandleSignals(service, fl.targets[0], targetapi.Signals{RetryAfter: 3 * time.Second})
-		p.HandleSignals(service, fl.targets[0], targetapi.Signals{})                             // an answer that was under way
-		p.HandleSignals(service, fl.targets[0], targetapi.Signals{RetryAfter: 100 * time.Millisecond}) // and a shorter rest
+		p.HandleSignals(service, fl.targets[0], targetapi.Signals{})                                   // response to an earlier request
+		p.HandleSignals(service, fl.targets[0], targetapi.Signals{RetryAfter: 100 * time.Millisecond}) // a shorter pause
 		for _, req := range []pick.Request{{}, {Hedge: true}, {Alone: true}} {
 			req.Service = service
 			for range 20 {
@@ -29,7 +29,7 @@
 				assert.Equal(t, g.Target().ID, fl.targets[1].ID)
 			}
 		}
-		assert.Check(t, !other.BackedOff(service, fl.targets[0]), "rest is asked of one host")
+		assert.Check(t, !other.BackedOff(service, fl.targets[0]), "a pause applies only to the host that was asked for it")
 
 		time.Sleep(time.Second)
 		p.HandleSignals(service, fl.targets[1], targetapi.Signals{RetryAfter: 3 * time.Second})
@@ -43,8 +43,8 @@
 	})
 }
 
-// Guards against holding a former run's wish against the next.
-func TestNextRunOfATargetNeedsNoRest(t *testing.T) {
+// Guards against carrying the pause of a former run over to the next.
+func TestNextRunOfATargetHasNoBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		board := blackboard.New()
 		defer board.Close()
@@ -53,10 +53,10 @@
 			board.Targets.Store(&blackboard.Targets{ByService: map[blackboard.ServiceKey][]blackboard.Target{service: {tg}}})
 			return tg
 		}
-		r := newRests(board)
+		r := newBackoffs(board)
 		first := run(1)
 		assert.Check(t, r.add(service, first, time.Minute))
-		assert.Check(t, !r.add(service, first, time.Second), "no news")
+		assert.Check(t, !r.add(service, first, time.Second), "the pause is already in force")
 		assert.Check(t, r.has(service, first))
 		next := run(2)
 		assert.Check(t, !r.has(service, next))
@@ -65,7 +65,8 @@
 	})
 }
 
-// Guards against grants for a target that said it leaves, by a picker that does not know.
+// Guards against granting a target that reported that it is leaving, when the wrapped picker
+// does not know.
 func TestGrantsForLeavingTargetsAreGivenBack(t *testing.T) {
 	withFleet(t, 1, 2, 0, func(fl *fleet) {
 		p := fl.hosts[0].picker
--- a/backpressure/backpressure.go
+++ b/backpressure/backpressure.go
@@ -1,6 +1,10 @@
-// Package backpressure keeps to what targets ask of the hosts that send them requests. What a
-// target says is read in one place (targetapi.Contract); here is what follows from it, between
-// the choice of a target and the attempt.
+// Package backpressure enforces what targets ask of their senders: request limits, pauses
+// requested with Retry-After, and notices that a target is leaving.
+//
+// It wraps a pick.Picker. Signals in responses (read by targetapi.Contract) arrive through
+// HandleSignals. A choice excludes targets that are full, backed off or leaving; if the wrapped
+// picker grants one with a limit, the host that counts the requests to that target is asked for
+// a permit first.
 package backpressure
 
 import (
@@ -24,77 +28,79 @@
 )
 
 const (
-	// askTimeout bounds the question whether a target takes one more request.
-	askTimeout = 300 * time.Millisecond
-	// unknownRest is how long a target gets nothing of which no host could tell.
-	unknownRest = 250 * time.Millisecond
-	// maxTries bounds the targets that are considered in one choice.
+	// permitTimeout bounds the request for a permit from the counting host.
+	permitTimeout = 300 * time.Millisecond
+	// unknownLimitBackoff is how long a target is skipped if no host could tell its limit.
+	unknownLimitBackoff = 250 * time.Millisecond
+	// maxTries bounds the number of targets considered in one choice.
 	maxTries = 8
 )
 
-// Tolerance is by how much all hosts together may exceed a limit: targetapi.HeaderLimit.
+// Tolerance is by how much all hosts together may exceed a target's limit, as promised by
+// targetapi.HeaderLimit.
 var Tolerance = policy.Tolerance{Window: 4 * time.Second, Share: 0.5, Requests: 5}
 
-// Deps is what a Picker works with.
+// Deps are the dependencies of a Picker.
 type Deps struct {
-	// Picker chooses targets.
+	// Picker is the wrapped picker.
 	Picker pick.Picker
 	Board  *blackboard.Board
 	Link   peer.Link
 	// Zone is this host's availability zone.
 	Zone string
-	// Watched reports whether this host has word of the platform's store, by a host that
-	// watches it.
+	// Watched reports whether this host has current data from the platform's store, through a
+	// host that watches it.
 	Watched func() bool
-	// OnLeaving, if set, is called when a target said that it leaves, and again if it is
-	// chosen after that.
+	// OnLeaving, if set, is called when a target reports that it is leaving, and again if the
+	// wrapped picker chooses it after that.
 	OnLeaving func(blackboard.ServiceKey, blackboard.Target)
 	Metrics   *metrics.Set
 	Log       *zap.Logger
 }
 
-// Picker is a pick.Picker whose choices keep to the limits that targets name, and off targets
-// that asked this host for rest or said that they leave. It is safe for concurrent use.
+// Picker is a pick.Picker that enforces the limits of targets and avoids targets that asked
+// this host for a pause or are leaving. It is safe for concurrent use.
 //
-// A limit holds for all hosts together, so that one of them counts for each target and the
-// others ask it: even parts would be a request every few seconds for each of many hosts, used up
-// where callers come and idle elsewhere.
+// A limit holds for all hosts together. One host counts the requests to each target and the
+// others ask it for permits: with equal shares, each of many hosts would get one request every
+// few seconds, exhausted where callers are and idle elsewhere.
 type Picker struct {
 	deps   Deps
-	lines  *lines
+	log    *limitedLogger
 	limits *limits
-	// asker counts over all hosts. One host of a target's zone counts for it, so that no zone
-	// needs a part of its own.
-	asker   *quota.Controller
-	leavers *leavers
-	rests   *rests
-	count   pickCounters
+	// quotas grants permits across hosts. One host in a target's zone counts for it, so that
+	// zones need no shares of their own.
+	quotas   *quota.Controller
+	leaving  *leavingRuns
+	backoffs *backoffs
+	count    pickCounters
 
 	mu sync.Mutex
-	// full are the targets of each service that take nothing until a moment.
+	// full holds, by service, the targets that have used up their limits, and until when.
 	full map[blackboard.ServiceKey]map[ports.HostID]time.Time
 }
 
 type pickCounters struct {
-	// limited counts grants of targets with a limit, full those that were not given since the
-	// target had used its limit up, rests how often a target asked for rest.
-	limited, full, rests *expvar.Int
-	// refused counts calls for which there was no other target, by reason.
+	// limited counts permits for targets with a limit, full grants dropped because the target
+	// had used up its limit, backoffs how often targets asked for a pause.
+	limited, full, backoffs *expvar.Int
+	// refused counts calls for which no other target was left, by reason.
 	refused *expvar.Map
 }
 
 var _ pick.Picker = (*Picker)(nil)
 
-// New returns a picker that knows of no limit, and registers its messages with the link.
+// New returns a picker without any limits in force and registers its message handlers with the
+// link.
 func New(d Deps) *Picker {
 	c := d.Metrics.Counters("backpressure")
-	lines := newLines(d.Log, c("lines_dropped"))
-	limits := newLimits(d.Metrics, lines)
+	log := newLimitedLogger(d.Log, c("lines_dropped"))
+	limits := newLimits(d.Metrics, log)
 	return &Picker{
 		deps:   d,
-		lines:  lines,
+		log:    log,
 		limits: limits,
-		asker: quota.New(quota.Deps{
+		quotas: quota.New(quota.Deps{
 			Board:     d.Board,
 			Link:      d.Link,
 			Kind:      peer.KindTargetLimit,
@@ -106,48 +112,48 @@
 			Metrics:   d.Metrics,
 			Log:       d.Log,
 		}),
-		leavers: newLeavers(),
-		rests:   newRests(d.Board),
+		leaving:  newLeavingRuns(),
+		backoffs: newBackoffs(d.Board),
 		count: pickCounters{
-			limited: c("limit_granted"),
-			full:    c("limit_passed_over"),
-			rests:   c("rests"),
-			refused: d.Metrics.Map("backpressure_refused"),
+			limited:  c("limit_granted"),
+			full:     c("limit_passed_over"),
+			backoffs: c("rests"),
+			refused:  d.Metrics.Map("backpressure_refused"),
 		},
 		full: make(map[blackboard.ServiceKey]map[ports.HostID]time.Time),
 	}
 }
 
-// Run counts for targets until ctx ends.
-func (p *Picker) Run(ctx context.Context) error { return p.asker.Run(ctx) }
+// Run serves permits for the targets that this host counts for, until ctx ends.
+func (p *Picker) Run(ctx context.Context) error { return p.quotas.Run(ctx) }
 
 // Pick implements pick.Picker.
 func (p *Picker) Pick(ctx context.Context, req pick.Request) (pick.Grant, outcome.Result) {
-	if p.quiet(req.Service) {
+	if p.unconstrained(req.Service) {
 		return p.deps.Picker.Pick(ctx, req)
 	}
-	tried := req.Avoid
+	excluded := req.Avoid
 	for range maxTries {
-		closed := p.closed(req.Service)
-		req.Avoid = append(slices.Clone(tried), closed...)
+		closedNow := p.unavailable(req.Service)
+		req.Avoid = append(slices.Clone(excluded), closedNow...)
 		g, refusal := p.deps.Picker.Pick(ctx, req)
 		if g == nil {
-			return nil, p.explain(req.Service, refusal, len(closed) > 0)
+			return nil, p.explain(req.Service, refusal, len(closedNow) > 0)
 		}
 		t := g.Target()
-		// A picker may take one to avoid if there is no other.
-		noOther := slices.Contains(closed, t.ID) || slices.Contains(tried, t.ID) && p.unwanted(req.Service, t)
+		// The wrapped picker may choose an excluded target if there is no other.
+		noOther := slices.Contains(closedNow, t.ID) || slices.Contains(excluded, t.ID) && p.mustAvoid(req.Service, t)
 		if noOther {
-			giveUp(g)
+			releaseUnused(g)
 			return nil, p.refuse(req.Service)
 		}
 		h := p.permit(ctx, req.Service, g)
 		switch {
 		case h == nil:
-			giveUp(g)
-		case p.unwanted(req.Service, t): // as it may have said meanwhile
-			giveUp(h)
-			tried = append(slices.Clone(tried), t.ID)
+			releaseUnused(g)
+		case p.mustAvoid(req.Service, t): // it may have reported so during permit
+			releaseUnused(h)
+			excluded = append(slices.Clone(excluded), t.ID)
 		default:
 			return h, outcome.Result{}
 		}
@@ -155,25 +161,25 @@
 	return nil, p.refuse(req.Service)
 }
 
-// unwanted reports whether a target may get nothing at all: it leaves, or rests.
-func (p *Picker) unwanted(service blackboard.ServiceKey, t blackboard.Target) bool {
-	if p.leavers.has(t.Run()) {
+// mustAvoid reports whether a target must get no requests because it is leaving or backed off.
+func (p *Picker) mustAvoid(service blackboard.ServiceKey, t blackboard.Target) bool {
+	if p.leaving.has(t.Run()) {
 		p.markLeaving(service, t)
 		return true
 	}
-	return p.rests.has(service, t)
+	return p.backoffs.has(service, t)
 }
 
-// quiet reports whether no target of a service asks anything.
-func (p *Picker) quiet(service blackboard.ServiceKey) bool {
-	return !p.limits.any(service) && !p.rests.any(service) && !p.leavers.any()
+// unconstrained reports whether no limit, backoff or leaving notice applies to a service.
+func (p *Picker) unconstrained(service blackboard.ServiceKey) bool {
+	return !p.limits.any(service) && !p.backoffs.any(service) && !p.leaving.any()
 }
 
-// closed returns the targets of a service that get nothing now: they have used up their limits, or
-// rest.
-func (p *Picker) closed(service blackboard.ServiceKey) []ports.HostID {
-	resting, _ := p.rests.of(service)
-	return append(resting, p.fullOf(service)...)
+// unavailable returns the targets of a service that get no requests now because their limits
+// are used up or they are backed off.
+func (p *Picker) unavailable(service blackboard.ServiceKey) []ports.HostID {
+	backedOff, _ := p.backoffs.of(service)
+	return append(backedOff, p.fullTargets(service)...)
 }
 
 func (p *Picker) markLeaving(service blackboard.ServiceKey, t blackboard.Target) {
@@ -182,24 +188,24 @@
 	}
 }
 
-// giveUp releases a grant that was not used.
-func giveUp(g pick.Grant) { g.Release(pick.Report{Class: pick.Canceled, Load: -1}) }
+// releaseUnused releases a grant that was not used.
+func releaseUnused(g pick.Grant) { g.Release(pick.Report{Class: pick.Canceled, Load: -1}) }
 
-// permit returns the grant if its target takes one more request now, else nil.
+// permit returns the grant if its target takes one more request now, or nil.
 //
-// It asks for targets, too, of which this host has heard nothing: others of the service are in
-// need, and the first request of each of many hosts would be more than such a target takes. If no
-// host can tell of one, it gets the request.
+// It asks the counting host also for targets whose limit is unknown to this host: other targets
+// of the service are limited, and one unasked request from each of many hosts would exceed such
+// a limit. If no host knows a limit, the request is permitted.
 func (p *Picker) permit(ctx context.Context, service blackboard.ServiceKey, g pick.Grant) pick.Grant {
 	if !p.limits.any(service) {
 		return g
 	}
 	t := g.Target()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	a := p.asker.Ask(ctx, policy.Request{
+	a := p.quotas.Ask(ctx, policy.Request{
 		Name: string(t.Run()),
-		Zone: zoneOf(t.Zone, p.deps.Board.Members.Load()),
+		Zone: countingZone(t.Zone, p.deps.Board.Members.Load()),
 		Left: -1,
 		Word: p.limits.Word(string(t.Run())),
 	})
@@ -207,42 +213,42 @@
 	switch {
 	case a.Granted, !a.Known && limit.Rate == 0:
 		p.count.limited.Add(1)
-		return &held{Grant: g, picker: p, perSecond: limit.Rate}
+		return &heldGrant{Grant: g, picker: p, perSecond: limit.Rate}
 	case a.Known:
-		p.close(service, t.ID, a.Wait)
+		p.markFull(service, t.ID, a.Wait)
 	default:
-		p.close(service, t.ID, unknownRest)
+		p.markFull(service, t.ID, unknownLimitBackoff)
 	}
 	p.count.full.Add(1)
 	return nil
 }
 
-// HandleSignals takes in what a target says of itself; it is a pick.Listener.
+// HandleSignals records the signals of a target; it is a pick.SignalHandler.
 func (p *Picker) HandleSignals(service blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
-	if s.Leaving && p.leavers.add(t.Run()) {
-		p.lines.info("target leaving by its own answer", zap.String("target", string(t.Run())), zap.String("service", service.Service))
+	if s.Leaving && p.leaving.add(t.Run()) {
+		p.log.info("target leaving by its own answer", zap.String("target", string(t.Run())), zap.String("service", service.Service))
 		p.markLeaving(service, t)
 	}
 	if s.RetryAfter > 0 {
-		p.count.rests.Add(1)
-		if p.rests.add(service, t, s.RetryAfter) {
-			p.lines.info("target asks for rest", zap.String("target", string(t.Run())), zap.String("service", service.Service),
+		p.count.backoffs.Add(1)
+		if p.backoffs.add(service, t, s.RetryAfter) {
+			p.log.info("target asked for a pause with Retry-After", zap.String("target", string(t.Run())), zap.String("service", service.Service),
 				zap.Duration("rest", s.RetryAfter))
 		}
 	}
-	if p.limits.Heard(service, t, s) {
-		p.asker.Tell(string(t.Run()), zoneOf(t.Zone, p.deps.Board.Members.Load()))
+	if p.limits.RecordSignals(service, t, s) {
+		p.quotas.Tell(string(t.Run()), countingZone(t.Zone, p.deps.Board.Members.Load()))
 	}
 }
 
-// BackedOff reports whether a target wants nothing from this host now.
+// BackedOff reports whether a target asked this host for a pause that has not ended.
 func (p *Picker) BackedOff(service blackboard.ServiceKey, t blackboard.Target) bool {
-	return p.rests.has(service, t)
+	return p.backoffs.has(service, t)
 }
 
-// zoneOf returns the availability zone whose hosts count the requests of a target: its own, or
-// the first by name that has a live host.
-func zoneOf(zone string, m *blackboard.Members) string {
+// countingZone returns the availability zone whose hosts count the requests to a target: the
+// target's own, or the first by name if that has no live host.
+func countingZone(zone string, m *blackboard.Members) string {
 	first := ""
 	for i := range m.Members {
 		h := &m.Members[i]
@@ -259,8 +265,8 @@
 	return first
 }
 
-// close keeps calls off a target for a while.
-func (p *Picker) close(service blackboard.ServiceKey, id ports.HostID, wait time.Duration) {
+// markFull excludes a target for a while.
+func (p *Picker) markFull(service blackboard.ServiceKey, id ports.HostID, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.full[service] == nil {
@@ -269,8 +275,8 @@
 	p.full[service][id] = time.Now().Add(wait)
 }
 
-// fullOf returns the targets of a service that take nothing now.
-func (p *Picker) fullOf(service blackboard.ServiceKey) (ids []ports.HostID) {
+// fullTargets returns the targets of a service whose limits are used up.
+func (p *Picker) fullTargets(service blackboard.ServiceKey) (ids []ports.HostID) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -284,9 +290,9 @@
 	return ids
 }
 
-// explain returns what a call is told that found no target.
-func (p *Picker) explain(service blackboard.ServiceKey, refusal outcome.Result, closed bool) outcome.Result {
-	if !closed || refusal.Reason != outcome.ReasonNoTarget {
+// explain replaces a no-target refusal by the reason why the excluded targets take no requests.
+func (p *Picker) explain(service blackboard.ServiceKey, refusal outcome.Result, excluded bool) outcome.Result {
+	if !excluded || refusal.Reason != outcome.ReasonNoTarget {
 		return refusal
 	}
 	r := p.refuse(service)
@@ -294,10 +300,10 @@
 	return r
 }
 
-// refuse returns what a call is told if all targets that it could go to have used up their
-// limits, rest or leave.
+// refuse returns the refusal of a call if all targets that it could go to have used up their
+// limits, are backed off or are leaving.
 func (p *Picker) refuse(service blackboard.ServiceKey) outcome.Result {
-	reason, first := p.soonest(service)
+	reason, first := p.earliest(service)
 	p.count.refused.Add(string(reason), 1)
 	r := outcome.Refuse(reason)
 	if !first.IsZero() {
@@ -306,14 +312,14 @@
 	return r
 }
 
-// soonest returns why the target of a service that takes requests soonest takes none now, and
-// when it does; the zero time if there is none.
-func (p *Picker) soonest(service blackboard.ServiceKey) (outcome.Reason, time.Time) {
-	free := p.firstFree(service)
-	_, rested := p.rests.of(service)
+// earliest returns when the first excluded target of a service takes requests again, and why it
+// takes none now; the zero time if there is none.
+func (p *Picker) earliest(service blackboard.ServiceKey) (outcome.Reason, time.Time) {
+	free := p.earliestPermit(service)
+	_, backoffEnd := p.backoffs.of(service)
 	switch {
-	case !rested.IsZero() && (free.IsZero() || rested.Before(free)):
-		return outcome.ReasonTargetRest, rested
+	case !backoffEnd.IsZero() && (free.IsZero() || backoffEnd.Before(free)):
+		return outcome.ReasonTargetRest, backoffEnd
 	case !free.IsZero():
 		return outcome.ReasonTargetLimit, free
 	default:
@@ -321,8 +327,9 @@
 	}
 }
 
-// firstFree returns when the first target of a service that has used up its limit takes more.
-func (p *Picker) firstFree(service blackboard.ServiceKey) (first time.Time) {
+// earliestPermit returns when the first target of a service that has used up its limit takes
+// requests again.
+func (p *Picker) earliestPermit(service blackboard.ServiceKey) (first time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, until := range p.full[service] {
@@ -333,23 +340,23 @@
 	return first
 }
 
-// held is a grant that counts in its target's limit.
-type held struct {
+// heldGrant is a grant that counts towards its target's limit.
+type heldGrant struct {
 	pick.Grant
 	picker    *Picker
 	perSecond float64
 }
 
-// Release implements pick.Grant. What never left this host does not count.
-func (h *held) Release(r pick.Report) {
+// Release implements pick.Grant. A request that never left this host is returned to the limit.
+func (h *heldGrant) Release(r pick.Report) {
 	if h.perSecond > 0 && r.Class == pick.NotSent {
-		h.picker.asker.Return(string(h.Target().Run()))
+		h.picker.quotas.Return(string(h.Target().Run()))
 	}
 	h.Grant.Release(r)
 }
 
-// Basis implements pick.Explained.
-func (h *held) Basis() (b pick.Basis) {
+// Basis implements pick.Explainer.
+func (h *heldGrant) Basis() (b pick.Basis) {
 	if g, ok := h.Grant.(pick.Explainer); ok {
 		b = g.Basis()
 	}
--- a/backpressure/hosts_test.go
+++ b/backpressure/hosts_test.go
@@ -25,25 +25,25 @@
 
 var service = blackboard.ServiceKey{Service: "s"}
 
-// window and allowed are what a target gets at most by targetapi.HeaderLimit.
+// window and allowed are the bound that targetapi.HeaderLimit promises to targets.
 const window = 4 * time.Second
 
 func allowed(limit float64) float64 { return 1.5*limit*window.Seconds() + 5 }
 
-// fleet is hosts of three zones that choose among the same targets, in virtual time.
+// fleet is a set of hosts in three zones that choose among the same targets, in virtual time.
 type fleet struct {
 	net     *peernet.Network
 	hosts   []*host
 	targets []blackboard.Target
 
 	mu sync.Mutex
-	// limit is what each target names, or the first limited of them; 0 means none.
+	// limit is the limit that the first limited targets set; 0 means none.
 	limit   float64
 	limited int
 	arrived map[ports.HostID][]time.Time
 	served  int
 	refused int
-	// messages are those between hosts, replies included.
+	// messages counts messages between hosts, replies included.
 	messages int
 }
 
@@ -52,7 +52,7 @@
 	picker *Picker
 	down   bool
 	stop   func()
-	// start starts it anew.
+	// start starts the host again after it was stopped.
 	start func() *host
 }
 
@@ -96,7 +96,7 @@
 	board.Members.Store(&own)
 	h := &host{id: self.ID, start: func() *host { return fl.start(i, self, members) }}
 	h.picker = New(Deps{
-		Picker: &anyTarget{fl: fl, rng: rand.New(rand.NewPCG(uint64(i), 1))}, Board: board, Link: fl.net.Join(self.ID), Zone: self.Zone,
+		Picker: &randomPicker{fl: fl, rng: rand.New(rand.NewPCG(uint64(i), 1))}, Board: board, Link: fl.net.Join(self.ID), Zone: self.Zone,
 		Watched: func() bool { return true }, Metrics: metrics.New(), Log: zap.NewNop(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -121,30 +121,30 @@
 	}
 }
 
-// anyTarget picks targets at random.
-type anyTarget struct {
+// randomPicker picks targets at random.
+type randomPicker struct {
 	fl  *fleet
 	mu  sync.Mutex
 	rng *rand.Rand
 }
 
-func (a *anyTarget) Pick(_ context.Context, req pick.Request) (pick.Grant, outcome.Result) {
+func (a *randomPicker) Pick(_ context.Context, req pick.Request) (pick.Grant, outcome.Result) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, i := range a.rng.Perm(len(a.fl.targets)) {
 		if t := a.fl.targets[i]; !slices.Contains(req.Avoid, t.ID) {
-			return &sent{target: t}, outcome.Result{}
+			return &testGrant{target: t}, outcome.Result{}
 		}
 	}
 	return nil, outcome.Refuse(outcome.ReasonNoTarget)
 }
 
-type sent struct{ target blackboard.Target }
+type testGrant struct{ target blackboard.Target }
 
-func (s *sent) Target() blackboard.Target { return s.target }
-func (s *sent) Release(pick.Report)       {}
+func (s *testGrant) Target() blackboard.Target { return s.target }
+func (s *testGrant) Release(pick.Report)       {}
 
-// call has a caller of a host send a request; its target's answer tells of the limit.
+// call sends one request through a host; the target's response carries its limit.
 func (fl *fleet) call(h *host) {
 	if h.down {
 		return
@@ -162,13 +162,13 @@
 		t := g.Target()
 		fl.arrived[t.ID] = append(fl.arrived[t.ID], time.Now())
 		fl.served++
-		h.picker.HandleSignals(service, t, targetapi.Signals{Limit: fl.named(t.ID)})
+		h.picker.HandleSignals(service, t, targetapi.Signals{Limit: fl.limitOf(t.ID)})
 		g.Release(pick.Report{Class: pick.OK, Load: -1})
 	}()
 }
 
-// named is the limit that a target names. The lock is held.
-func (fl *fleet) named(id ports.HostID) targetapi.Limit {
+// limitOf returns the limit that a target sets. The caller holds the lock.
+func (fl *fleet) limitOf(id ports.HostID) targetapi.Limit {
 	i := slices.IndexFunc(fl.targets, func(t blackboard.Target) bool { return t.ID == id })
 	if fl.limit == 0 || i >= fl.limited {
 		return targetapi.Limit{}
@@ -176,7 +176,7 @@
 	return targetapi.Limit{Named: true, PerSecond: fl.limit}
 }
 
-// load sends so many calls a second for a while, at random hosts.
+// load sends calls at a rate through random hosts for a time.
 func (fl *fleet) load(perSecond float64, d time.Duration) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	for end := time.Now().Add(d); time.Now().Before(end); {
@@ -186,16 +186,16 @@
 	time.Sleep(time.Second)
 }
 
-// begin forgets what came before.
-func (fl *fleet) begin() {
+// resetCounts discards the counts so far.
+func (fl *fleet) resetCounts() {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	clear(fl.arrived)
 	fl.served, fl.refused, fl.messages = 0, 0, 0
 }
 
-// most returns the most requests that any target got within the window.
-func (fl *fleet) most() (most int) {
+// maxPerWindow returns the most requests that any target got within the window.
+func (fl *fleet) maxPerWindow() (most int) {
 	for _, at := range fl.arrived {
 		from := 0
 		for i := range at {
@@ -208,8 +208,8 @@
 	return most
 }
 
-// Guards against hosts that each keep a target's limit for themselves, and against limits that
-// are kept by leaving them idle.
+// Guards against hosts that each enforce a target's limit on their own, and against limits that
+// are kept by leaving them unused.
 func TestManyHostsKeepLimitsTogether(t *testing.T) {
 	for _, c := range []struct {
 		hosts, targets int
@@ -219,10 +219,10 @@
 			withFleet(t, c.hosts, c.targets, c.limit, func(fl *fleet) {
 				carried := c.limit * float64(c.targets)
 				fl.load(times*carried, 8*time.Second)
-				fl.begin()
+				fl.resetCounts()
 				const span = 30 * time.Second
 				fl.load(times*carried, span)
-				got := fl.most()
+				got := fl.maxPerWindow()
 				t.Logf("%+v, load %v: served %d, refused %d, most in a window %d of %v, %d messages",
 					c, times, fl.served, fl.refused, got, allowed(c.limit), fl.messages)
 				assert.Check(t, float64(got) <= allowed(c.limit))
@@ -232,25 +232,25 @@
 	}
 }
 
-// Guards against hosts that count for a target twice over while they follow each other.
+// Guards against two hosts granting permits for the same target while the counting role moves.
 func TestLimitHoldsWhileHostsGo(t *testing.T) {
 	for seed := range uint64(6) {
 		withFleet(t, 30, 10, 2, func(fl *fleet) {
 			fl.load(60, 6*time.Second)
-			fl.begin()
+			fl.resetCounts()
 			rng := rand.New(rand.NewPCG(seed, 3))
 			for range 6 {
 				fl.kill(fl.hosts[rng.IntN(len(fl.hosts))])
 				fl.load(60, 4*time.Second)
 			}
-			got := fl.most()
+			got := fl.maxPerWindow()
 			t.Logf("seed %d: served %d, refused %d, most in a window %d of %v", seed, fl.served, fl.refused, got, allowed(2))
 			assert.Check(t, float64(got) <= allowed(2))
 		})
 	}
 }
 
-// Guards against hosts that go on keeping a limit which its target names no more.
+// Guards against enforcing a limit that its target no longer sets.
 func TestLimitEndsAsSoonAsItIsNotNamed(t *testing.T) {
 	for _, c := range []struct {
 		hosts, targets int
@@ -263,7 +263,7 @@
 			fl.limit = 0
 			fl.mu.Unlock()
 			fl.load(perSecond, 5*time.Second)
-			fl.begin()
+			fl.resetCounts()
 			fl.load(perSecond, 5*time.Second)
 			t.Logf("%+v: served %d, refused %d", c, fl.served, fl.refused)
 			assert.Check(t, fl.refused < fl.served/20, "%d of %d", fl.refused, fl.served)
@@ -271,20 +271,20 @@
 	}
 }
 
-// Guards against a host that serves nobody, since no other host can tell it of targets that never
-// named a limit.
+// Guards against a partitioned host that refuses all calls because no other host can tell it
+// that targets have no limit.
 func TestHostThatIsCutOffUsesTargetsWithoutLimits(t *testing.T) {
 	withFleet(t, 14, 6, 1, func(fl *fleet) {
 		fl.limited = 1
 		fl.load(60, 6*time.Second)
-		alone := fl.hosts[0]
+		cutOff := fl.hosts[0]
 		for _, h := range fl.hosts[1:] {
-			fl.net.Cut(alone.id, h.id)
-			fl.net.Cut(h.id, alone.id)
+			fl.net.Cut(cutOff.id, h.id)
+			fl.net.Cut(h.id, cutOff.id)
 		}
-		fl.begin()
+		fl.resetCounts()
 		for range 300 {
-			fl.call(alone)
+			fl.call(cutOff)
 			time.Sleep(20 * time.Millisecond)
 		}
 		time.Sleep(time.Second)
@@ -293,18 +293,19 @@
 	})
 }
 
-// Guards against hosts that start while a limit is named and go by what they have not heard.
+// Guards against restarted hosts that treat targets as unlimited because they have not seen the
+// limit yet.
 func TestLimitHoldsWhileHostsStartAnew(t *testing.T) {
 	withFleet(t, 30, 10, 2, func(fl *fleet) {
 		fl.load(60, 6*time.Second)
-		fl.begin()
+		fl.resetCounts()
 		for i := range fl.hosts {
 			fl.kill(fl.hosts[i])
 			fl.load(60, 300*time.Millisecond)
 			fl.hosts[i] = fl.hosts[i].start()
 		}
 		fl.load(60, 10*time.Second)
-		got := fl.most()
+		got := fl.maxPerWindow()
 		t.Logf("served %d, refused %d, most in a window %d of %v", fl.served, fl.refused, got, allowed(2))
 		assert.Check(t, float64(got) <= allowed(2))
 	})
--- a/backpressure/leaving.go
+++ b/backpressure/leaving.go
@@ -7,55 +7,56 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// leavingFor is how long a target that said it leaves is remembered after it last said so: far
-// longer than any takes to go.
-const leavingFor = 10 * time.Minute
-
-// leavers are the runs of targets that said that they leave. A run never takes that back, while
-// the platform's list may lag behind, or lose its entry and show it as ready again.
-type leavers struct {
-	mu    sync.Mutex
-	said  map[ports.RunID]time.Time
-	swept time.Time
+// leavingTTL is how long a leaving run is remembered after its last notice: far longer than any
+// target takes to stop.
+const leavingTTL = 10 * time.Minute
+
+// leavingRuns are the runs of targets that reported that they are leaving. A run never takes
+// that back, while the platform's list may lag, or lose the entry and list the target as ready
+// again.
+type leavingRuns struct {
+	mu        sync.Mutex
+	noticed   map[ports.RunID]time.Time
+	lastSweep time.Time
 }
 
-func newLeavers() *leavers { return &leavers{said: make(map[ports.RunID]time.Time)} }
+func newLeavingRuns() *leavingRuns { return &leavingRuns{noticed: make(map[ports.RunID]time.Time)} }
 
-// add notes that a run said so, and reports whether that is news.
-func (l *leavers) add(run ports.RunID) bool {
+// add records a notice of a run, and reports whether it is the first.
+func (l *leavingRuns) add(run ports.RunID) bool {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep(now)
-	_, known := l.said[run]
-	l.said[run] = now
+	_, known := l.noticed[run]
+	l.noticed[run] = now
 	return !known
 }
 
-// any reports whether any run said so.
-func (l *leavers) any() bool {
+// any reports whether any run is known to be leaving.
+func (l *leavingRuns) any() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.said) > 0
+	return len(l.noticed) > 0
 }
 
-// has reports whether a run said so.
-func (l *leavers) has(run ports.RunID) bool {
+// has reports whether a run is known to be leaving.
+func (l *leavingRuns) has(run ports.RunID) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_, known := l.said[run]
+	_, known := l.noticed[run]
 	return known
 }
 
-// sweep drops runs that are long gone. The lock is held.
-func (l *leavers) sweep(now time.Time) {
-	if now.Sub(l.swept) < leavingFor {
+// sweep drops expired runs. The caller holds the lock.
+func (l *leavingRuns) sweep(now time.Time) {
+	if now.Sub(l.lastSweep) < leavingTTL {
 		return
 	}
-	l.swept = now
-	for run, at := range l.said {
-		if now.Sub(at) > leavingFor {
-			delete(l.said, run)
+	l.lastSweep = now
+	for run, at := range l.noticed {
+		if now.Sub(at) > leavingTTL {
+			delete(l.noticed, run)
 		}
 	}
 }
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -15,128 +15,128 @@
 )
 
 const (
-	// forgetAfter is how long a target's word is kept without another one.
-	forgetAfter = time.Minute
-	// tellAfter is how old the last word of a limit may be when another one comes, without
-	// the host that counts being told of it.
-	tellAfter = 5 * time.Second
-	// leastRate is sent to a target whatever it names, in requests a second: its answers alone
-	// may tell that the limit has ended.
-	leastRate = 0.2
+	// reportTTL is how long a limit report is kept without a newer one.
+	reportTTL = time.Minute
+	// refreshAfter is the age of the last limit report from which on an unchanged one is passed
+	// on to the counting host.
+	refreshAfter = 5 * time.Second
+	// minRate is the request rate, per second, that a target gets however low its limit is:
+	// only its responses can tell that the limit has ended.
+	minRate = 0.2
 )
 
-// word is what a target last said of its limit.
-type word struct {
+// limitReport is the last known limit of a target.
+type limitReport struct {
 	limit targetapi.Limit
 	at    time.Time
-	// service is the target's; the zero value if another host told of it.
+	// service is the target's service; the zero value if the report came from another host.
 	service blackboard.ServiceKey
 }
 
-// rate is what the target gets, in requests a second; 0 means any number.
-func (w word) rate() float64 {
+// rate returns the enforced rate in requests per second; 0 means unlimited.
+func (w limitReport) rate() float64 {
 	if !w.limit.Named {
 		return 0
 	}
-	return max(w.limit.PerSecond, leastRate)
+	return max(w.limit.PerSecond, minRate)
 }
 
-// limits are the limits that targets name. It is safe for concurrent use.
+// limits holds the request limits of targets. It is safe for concurrent use.
 type limits struct {
-	lines *lines
+	log   *limitedLogger
 	count limitCounters
 
-	mu    sync.Mutex
-	words map[ports.RunID]word
-	// named is how many targets of each service name a limit.
-	named map[blackboard.ServiceKey]int
-	swept time.Time
+	mu      sync.Mutex
+	reports map[ports.RunID]limitReport
+	// named is the number of targets with a limit, by service.
+	named     map[blackboard.ServiceKey]int
+	lastSweep time.Time
 }
 
 type limitCounters struct {
-	// named counts answers that named a limit, changed how often a target named another one.
+	// named counts responses that set a limit, changed how often a target changed its limit.
 	named, changed *expvar.Int
 }
 
-// newLimits returns limits of which nothing is known.
-func newLimits(m *metrics.Set, lines *lines) *limits {
+// newLimits returns an empty set of limits.
+func newLimits(m *metrics.Set, log *limitedLogger) *limits {
 	c := m.Counters("backpressure")
 	l := &limits{
-		lines: lines,
-		count: limitCounters{named: c("limits_named"), changed: c("limits_changed")},
-		words: make(map[ports.RunID]word),
-		named: make(map[blackboard.ServiceKey]int),
+		log:     log,
+		count:   limitCounters{named: c("limits_named"), changed: c("limits_changed")},
+		reports: make(map[ports.RunID]limitReport),
+		named:   make(map[blackboard.ServiceKey]int),
 	}
 	m.Func("targets_limited", func() any { return l.limited() })
 	return l
 }
 
-// Heard takes in what a target says. It reports whether other hosts should hear of it: it is news,
-// or what they know is old.
-func (l *limits) Heard(service blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) (tell bool) {
+// RecordSignals records the limit in a target's response. It reports whether the counting host
+// should be told: the limit changed, or that host's report is old.
+func (l *limits) RecordSignals(service blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) (tell bool) {
 	if s.Limit.Named {
 		l.count.named.Add(1)
 	}
 	now := time.Now()
-	before, taken := l.note(t.Run(), word{s.Limit, now, service})
-	if !taken {
+	before, recorded := l.record(t.Run(), limitReport{s.Limit, now, service})
+	if !recorded {
 		return false
 	}
 	changed := before.limit != s.Limit
 	if changed {
-		l.tellChange(t.Run(), before.limit, s.Limit, "answer")
+		l.logChange(t.Run(), before.limit, s.Limit, "answer")
 	}
-	return changed || s.Limit.Named && now.Sub(before.at) > tellAfter
+	return changed || s.Limit.Named && now.Sub(before.at) > refreshAfter
 }
 
-// Hear takes in what another host knows of a target's limit.
+// Hear records what another host knows of a target's limit.
 func (l *limits) Hear(run string, w quota.Word) {
 	limit := targetapi.Limit{Named: w.Rate > 0, PerSecond: w.Rate}
-	before, taken := l.note(ports.RunID(run), word{limit: limit, at: time.Now().Add(-w.Age)})
-	if taken && before.limit != limit {
-		l.tellChange(ports.RunID(run), before.limit, limit, "host")
+	before, recorded := l.record(ports.RunID(run), limitReport{limit: limit, at: time.Now().Add(-w.Age)})
+	if recorded && before.limit != limit {
+		l.logChange(ports.RunID(run), before.limit, limit, "host")
 	}
 }
 
-// tellChange logs that this host believes something else of a target's limit.
-func (l *limits) tellChange(run ports.RunID, before, now targetapi.Limit, source string) {
+// logChange logs and counts a change of a target's limit as known to this host.
+func (l *limits) logChange(run ports.RunID, before, now targetapi.Limit, source string) {
 	l.count.changed.Add(1)
-	l.lines.info("target names a limit", zap.String("target", string(run)), zap.Bool("named", now.Named),
+	l.log.info("target changed its request limit", zap.String("target", string(run)), zap.Bool("named", now.Named),
 		zap.Float64("per_second", now.PerSecond), zap.Bool("named_before", before.Named),
 		zap.Float64("before", before.PerSecond), zap.String("source", source))
 }
 
-// Limit returns what a target takes; a rate of 0 means that it names no limit.
+// Limit returns the limit to enforce for a target; a rate of 0 means that it has none.
 func (l *limits) Limit(run string) (quota.Limit, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return quota.Limit{Rate: l.words[ports.RunID(run)].rate()}, true
+	return quota.Limit{Rate: l.reports[ports.RunID(run)].rate()}, true
 }
 
-// Word returns what is known of a target's limit, for other hosts.
+// Word returns what this host knows of a target's limit, to be sent to other hosts.
 func (l *limits) Word(run string) quota.Word {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w, known := l.words[ports.RunID(run)]
+	w, known := l.reports[ports.RunID(run)]
 	if !known {
 		return quota.Word{}
 	}
 	return quota.Word{Known: true, Rate: w.rate(), Age: time.Since(w.at)}
 }
 
-// any reports whether some target of a service named a limit to this host.
+// any reports whether a target of a service set a limit in a response to this host.
 func (l *limits) any(service blackboard.ServiceKey) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.named[service] > 0
 }
 
-// note takes in a word unless a later one is known, and reports whether it did.
-func (l *limits) note(run ports.RunID, w word) (before word, taken bool) {
+// record stores a report unless a newer one is known, and reports whether it did.
+func (l *limits) record(run ports.RunID, w limitReport) (before limitReport, recorded bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sweep(time.Now())
-	before, known := l.words[run]
+	before, known := l.reports[run]
 	if !w.at.After(before.at) || !known && !w.limit.Named {
 		return before, false
 	}
@@ -145,36 +145,37 @@
 	}
 	l.countNamed(before, -1)
 	l.countNamed(w, 1)
-	l.words[run] = w
+	l.reports[run] = w
 	return before, true
 }
 
-// countNamed counts a word that comes or goes. The lock is held.
-func (l *limits) countNamed(w word, by int) {
+// countNamed adds delta to the number of limited targets if the report sets a limit. The caller
+// holds the lock.
+func (l *limits) countNamed(w limitReport, delta int) {
 	if !w.limit.Named {
 		return
 	}
-	l.named[w.service] += by
+	l.named[w.service] += delta
 	if l.named[w.service] == 0 {
 		delete(l.named, w.service)
 	}
 }
 
-// sweep drops words that are too old. The lock is held.
+// sweep drops expired reports. The caller holds the lock.
 func (l *limits) sweep(now time.Time) {
-	if now.Sub(l.swept) < forgetAfter {
+	if now.Sub(l.lastSweep) < reportTTL {
 		return
 	}
-	l.swept = now
-	for run, w := range l.words {
-		if now.Sub(w.at) > forgetAfter {
+	l.lastSweep = now
+	for run, w := range l.reports {
+		if now.Sub(w.at) > reportTTL {
 			l.countNamed(w, -1)
-			delete(l.words, run)
+			delete(l.reports, run)
 		}
 	}
 }
 
-// limited returns how many targets name a limit.
+// limited returns the number of targets with a limit.
 func (l *limits) limited() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/backpressure/limits_test.go
+++ b/backpressure/limits_test.go
@@ -15,14 +15,14 @@
 
 func newTestLimits(log *zap.Logger) *limits {
 	m := metrics.New()
-	return newLimits(m, newLines(log, m.Int("dropped")))
+	return newLimits(m, newLimitedLogger(log, m.Int("dropped")))
 }
 
 func TestLimitsAreLoggedAsTheyChange(t *testing.T) {
 	core, lines := observer.New(zap.InfoLevel)
 	l := newTestLimits(zap.New(core))
 	say := func(limit targetapi.Limit) {
-		l.Heard(blackboard.ServiceKey{}, blackboard.Target{ID: "t"}, targetapi.Signals{Limit: limit})
+		l.RecordSignals(blackboard.ServiceKey{}, blackboard.Target{ID: "t"}, targetapi.Signals{Limit: limit})
 		time.Sleep(time.Microsecond)
 	}
 	say(targetapi.Limit{})
@@ -37,10 +37,10 @@
 	assert.Equal(t, l.limited(), 0)
 }
 
-func TestOlderWordSaysNothing(t *testing.T) {
+func TestOlderReportIsIgnored(t *testing.T) {
 	l := newTestLimits(zap.NewNop())
 	now := time.Now()
-	l.note("t", word{limit: targetapi.Limit{Named: true, PerSecond: 1}, at: now})
-	l.note("t", word{at: now.Add(-time.Second)})
+	l.record("t", limitReport{limit: targetapi.Limit{Named: true, PerSecond: 1}, at: now})
+	l.record("t", limitReport{at: now.Add(-time.Second)})
 	assert.Equal(t, l.limited(), 1)
 }
