--- a/pick/pick.go
+++ b/pick/pick.go
@@ -1,6 +1,10 @@
-// Package pick is the contract between the code that sends the attempts of a
-// call (dispatch) and the code that chooses targets (slots, or a baseline).
-// Choosing knows nothing of connections; sending knows nothing of load.
+// Package pick defines the interface between the code that sends the attempts of a call
+// (package dispatch) and the code that chooses their targets (packages placer, slots and
+// backpressure).
+//
+// A Picker grants one attempt at one target, or refuses the call. The sender releases the grant
+// with a Report of how the attempt went, from which the picker learns about load and failures.
+// Pickers know nothing of connections; senders know nothing of load balancing.
 package pick
 
 import (
@@ -13,113 +17,113 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// Request asks for a target for one attempt.
+// Request describes one attempt that needs a target.
 type Request struct {
 	Service blackboard.ServiceKey
-	// Avoid lists targets that earlier attempts of the call went to. They are
-	// taken only if there is no other.
+	// Avoid lists targets of earlier attempts of the call. They are chosen only if there is no
+	// other.
 	Avoid []ports.HostID
-	// Hedge marks a second attempt while the first is in flight. It is granted
-	// only if a slot is free at once.
+	// Hedge marks a second attempt while the first is in flight. It is granted only if a slot
+	// is free at once.
 	Hedge bool
-	// Alone asks for a target that runs nothing else for this call: the call is
-	// suspected of crashing targets.
+	// Alone asks for a target that runs nothing else of this host during the attempt, because
+	// the call is suspected of crashing targets.
 	Alone bool
-	// Digest identifies the request for suspicion; 0 if not computed.
+	// Digest identifies the request to the detection of calls that crash targets; 0 if not
+	// computed.
 	Digest uint64
-	// Arrived is when the caller first asked, Objective the time after it within which
-	// an answer is worth most; 0 if nothing was declared.
+	// Arrived is when the caller first sent the request; a retry after a refusal may keep it.
+	// Objective is the desired response time counted from it; 0 if the route declares none.
 	Arrived   time.Time
 	Objective time.Duration
 	// Priority is the rank of the call; 0 is the most urgent.
 	Priority int
-	// Bytes is how many bytes the request's body and its answer are likely to have.
+	// Bytes is the estimated size of the request's body and its response together.
 	Bytes float64
-	// Regions are the only ones whose targets may get the call; all if empty.
+	// Regions are the only regions whose targets may get the call; all if empty.
 	Regions []string
 }
 
 // Picker chooses targets. Implementations are safe for concurrent use.
 type Picker interface {
-	// Pick waits for a target until ctx ends. It returns a grant, which the
-	// caller must release exactly once, or else a nil grant and the refusal to
-	// tell the caller. A refusal is always not-run.
+	// Pick waits for a target until ctx ends. It returns a grant, which the caller must release
+	// exactly once, or a nil grant and the refusal for the caller. The outcome of a refusal is
+	// always not-run.
 	Pick(ctx context.Context, req Request) (Grant, outcome.Result)
 }
 
-// SignalHandler takes in what a target of a service says of itself. It must not block.
+// SignalHandler is called with the signals that a target of a service sent in a response. It
+// must not block.
 type SignalHandler func(service blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals)
 
 // Grant is the right to send one attempt to one target.
 type Grant interface {
 	Target() blackboard.Target
-	// Release ends the grant and tells the picker how the attempt went.
+	// Release ends the grant and reports how the attempt went.
 	Release(r Report)
 }
 
-// Basis is what a choice rested on.
+// Basis is the data that a choice was based on, for logs.
 type Basis struct {
-	// Cost is the time until the answer that was reckoned with, in usual work
-	// times, and Age how old the target's own word was.
+	// Cost is the estimated time to the response, in units of the usual work time of a call,
+	// plus the price of sending bytes to another zone. Age is the age of the target's last load
+	// report.
 	Cost float64
 	Age  time.Duration
-	// LoadUnreported is set if the targets of the service tell nothing of their load.
+	// LoadUnreported is set if the targets of the service do not report their load.
 	LoadUnreported bool
-	// Cold is set if the target was taken for cold, or may have been, and says what that
-	// rested on.
+	// Cold says why the target was, or may have been, considered cold; empty if it was not.
 	Cold string
-	// Limit is how many requests a second the target takes by its own word; 0 if it names no
-	// limit.
+	// Limit is the limit that the target set, in requests per second; 0 if none.
 	Limit float64
-	// Probed is how many targets were probed for the choice, Waited how long the
-	// choice took.
+	// Probed is the number of targets probed for the choice, Waited the time that the choice
+	// took.
 	Probed int
 	Waited time.Duration
 }
 
-// Explainer is a grant that tells what it rested on.
+// Explainer is implemented by grants that know what their choice was based on.
 type Explainer interface {
 	Basis() Basis
 }
 
-// Class says how an attempt ended, as far as choosing targets is concerned.
+// Class is how an attempt ended, as far as choosing targets is concerned.
 type Class uint8
 
 const (
-	// OK is a whole answer that is not the target's failure.
+	// OK is a complete response that does not indicate a failure of the target.
 	OK Class = iota + 1
-	// Failed is an answer of the target's failure (status 500 and above).
+	// Failed is a response that indicates a failure of the target (status 500 and above).
 	Failed
 	// Shed is a refusal by the target before it ran the call.
 	Shed
 	// Leaving is a refusal by a target that is draining.
 	Leaving
-	// NotSent means that no byte left: no connection, or the call gave up.
+	// NotSent means that no byte was sent: there was no connection, or the call ended before.
 	NotSent
-	// BrokeOff means that the connection ended before the whole answer came.
+	// BrokeOff means that the connection ended before the complete response arrived.
 	BrokeOff
-	// Canceled means that the caller, or a hedge that won, ended the attempt.
+	// Canceled means that the caller, or a hedged attempt that won, ended the attempt.
 	Canceled
 	// TimedOut means that the deadline passed after the request was sent.
 	TimedOut
-	// Replaced is a refusal by another target that has the address by now.
+	// Replaced is a refusal by another target that now has the address.
 	Replaced
-	// Foreign is an answer that is not the target's to the call, or that no target
-	// vouches for. Something answers there, so that the call crashed nothing.
+	// Foreign is a response that does not belong to the call, or lacks the contract's seal.
+	// Since something responded, the call did not crash the target.
 	Foreign
 )
 
-// Report tells how an attempt went.
+// Report is the result of an attempt.
 type Report struct {
 	Class Class
-	// Latency is from the first byte sent to the last byte of the answer.
+	// Latency is the time from the first byte sent to the last byte of the response.
 	Latency time.Duration
-	// Load is the target's own report of its calls in flight and queued, from
-	// its answer; it is stale by the time it is read. Negative means none.
+	// Load is the number of calls in flight and queued that the target reported in its
+	// response; it may be out of date. Negative means that none was reported.
 	Load int
-	// TargetLoad is the report in full, if the target tells that much; Slots is 0 if
-	// not.
+	// TargetLoad is the full load report; its Slots is 0 if the target does not send one.
 	TargetLoad targetapi.Load
-	// LeavingHint is set if the answer said that the target is draining.
+	// LeavingHint is set if the response said that the target is draining.
 	LeavingHint bool
 }
