--- a/slots/cluster_test.go
+++ b/slots/cluster_test.go
@@ -22,7 +22,7 @@
 
 var bids = blackboard.ServiceKey{Workspace: "auction", Service: "bids"}
 
-// cluster is a few hosts in one process and virtual time.
+// cluster is a set of hosts in one process and virtual time.
 type cluster struct {
 	net         *peernet.Network
 	hosts       []*testHost
@@ -38,7 +38,7 @@
 
 func newCluster(hosts, targets int, svc declare.Service) *cluster {
 	c := &cluster{net: peernet.New()}
-	c.name("h0")
+	c.setNext("h0")
 	c.net.Delay = func(from, to peer.HostID) time.Duration {
 		if from == to {
 			return 0
@@ -92,26 +92,26 @@
 	return id, id != ""
 }
 
-// name sets what hosts find when they next look for the coordinator.
-func (c *cluster) name(id ports.HostID) { c.coordinator.Store(&id) }
+// setNext sets the coordinator that hosts find when they next look for it.
+func (c *cluster) setNext(id ports.HostID) { c.coordinator.Store(&id) }
 
 func (c *cluster) close(t *testing.T) {
-	time.Sleep(10 * time.Millisecond) // messages on their way arrive
+	time.Sleep(10 * time.Millisecond) // let messages in flight arrive
 	for _, h := range c.hosts {
 		h.slots.Close()
 		assert.NilError(t, h.board.Close())
 	}
 }
 
-// setCoordinator changes every host's view at once.
+// setCoordinator changes the coordinator for all hosts at once.
 func (c *cluster) setCoordinator(id ports.HostID) {
-	c.name(id)
+	c.setNext(id)
 	for _, h := range c.hosts {
 		h.touchMembers()
 	}
 }
 
-// touchMembers makes a host look anew for its coordinator.
+// touchMembers makes a host look up its coordinator again.
 func (h *testHost) touchMembers() {
 	h.board.Members.Update(func(m *blackboard.Members) (*blackboard.Members, bool) {
 		next := *m
@@ -119,7 +119,7 @@
 	})
 }
 
-// pickFor picks with a deadline.
+// pickFor picks with a timeout.
 func (h *testHost) pickFor(d time.Duration, req pick.Request) (pick.Grant, outcome.Result) {
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
@@ -127,7 +127,7 @@
 	return h.slots.Pick(ctx, req)
 }
 
-// call picks, holds the grant for d, and reports a whole answer.
+// call picks, holds the grant for d, and reports a successful answer.
 func (h *testHost) call(d time.Duration) outcome.Result {
 	g, refusal := h.pickFor(time.Second, pick.Request{})
 	if g == nil {
@@ -138,8 +138,8 @@
 	return outcome.Result{Outcome: outcome.Answered, Reason: outcome.ReasonOK}
 }
 
-// held returns the attempts in a host's state.
-func (h *testHost) held() int {
+// inFlight returns the number of attempts in a host's coordinator state.
+func (h *testHost) inFlight() int {
 	svc := h.slots.service(bids)
 	svc.mu.Lock()
 	defer svc.mu.Unlock()
--- a/slots/messages.go
+++ b/slots/messages.go
@@ -14,25 +14,25 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// outbox is what one event sends to other hosts.
+// outbox holds the messages to other hosts that result from one event.
 type outbox struct {
 	key     blackboard.ServiceKey
-	frames  []frameTo
-	tells   []tellTo
+	frames  []outgoingFrame
+	replies []outgoingReply
 	overdue []ports.HostID
 }
 
-type frameTo struct {
+type outgoingFrame struct {
 	to    ports.HostID
 	frame grant.Frame
 }
 
-type tellTo struct {
+type outgoingReply struct {
 	to   ports.HostID
 	tell grant.Tell
 }
 
-// overdueNotice tells a host that attempts on these targets are overdue.
+// overdueNotice tells a host that attempts at these targets are overdue.
 type overdueNotice struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -40,14 +40,14 @@
 	Targets []ports.HostID
 }
 
-// none is the reply to a notification.
-type none struct{}
+// emptyReply is the reply to a notification.
+type emptyReply struct{}
 
 func (s *Picker) send(o outbox) {
 	for _, f := range o.frames {
 		s.notify(f.to, kindFrame, f.frame)
 	}
-	for _, t := range o.tells {
+	for _, t := range o.replies {
 		s.notify(t.to, kindTell, t.tell)
 	}
 	if len(o.overdue) == 0 {
@@ -66,32 +66,32 @@
 	}
 }
 
-// onFrame takes what an entry host tells this host as coordinator. A service
-// that is not declared here gets no answer: the asking host then chooses alone.
-func (s *Picker) onFrame(_ context.Context, from peer.HostID, f grant.Frame) (none, error) {
+// onFrame handles a frame that an entry host sends to this host as coordinator. Frames for a
+// service that is not declared here are ignored; the sender then falls back to its own choice.
+func (s *Picker) onFrame(_ context.Context, from peer.HostID, f grant.Frame) (emptyReply, error) {
 	if svc := s.service(f.Service); svc != nil {
-		svc.do(func(now time.Time) { svc.coordinator.Receive(now, from, f) })
+		svc.process(func(now time.Time) { svc.coordinator.Receive(now, from, f) })
 	}
-	return none{}, nil
+	return emptyReply{}, nil
 }
 
-func (s *Picker) onTell(_ context.Context, from peer.HostID, t grant.Tell) (none, error) {
+func (s *Picker) onTell(_ context.Context, from peer.HostID, t grant.Tell) (emptyReply, error) {
 	if svc := s.service(t.Service); svc != nil {
-		svc.do(func(now time.Time) { svc.session.Told(now, from, t) })
+		svc.process(func(now time.Time) { svc.session.Told(now, from, t) })
 	}
-	return none{}, nil
+	return emptyReply{}, nil
 }
 
-func (s *Picker) onOverdue(_ context.Context, _ peer.HostID, n overdueNotice) (none, error) {
+func (s *Picker) onOverdue(_ context.Context, _ peer.HostID, n overdueNotice) (emptyReply, error) {
 	if svc := s.service(n.Service); svc != nil {
-		svc.do(func(now time.Time) { svc.session.Overdue(now, n.Targets) })
+		svc.process(func(now time.Time) { svc.session.Overdue(now, n.Targets) })
 	}
-	return none{}, nil
+	return emptyReply{}, nil
 }
 
-// note counts and logs what changed in one event.
-func (v *service) note(overdue []ports.HostID) {
-	s := v.owner
+// recordChanges counts and logs what changed in one event. The caller holds the lock.
+func (v *service) recordChanges(overdue []ports.HostID) {
+	s := v.picker
 	s.count.overdue.Add(int64(len(overdue)))
 	for _, id := range v.coordinator.Ejected() {
 		s.count.ejected.Add(1)
--- a/slots/metrics.go
+++ b/slots/metrics.go
@@ -7,15 +7,15 @@
 	"github.com/cactusproxy/cactusproxy/metrics"
 )
 
-// counters are the metrics of choosing targets.
+// counters are the metrics of this package.
 type counters struct {
 	coordinated *expvar.Int // grants by a coordinator
 	local       *expvar.Int // grants by this host's own choice
 	refused     *expvar.Map // picks refused, by reason
-	fallbacks   *expvar.Int // times this host stopped waiting for a coordinator
-	overdue     *expvar.Int // overdue attempts told to all hosts
+	fallbacks   *expvar.Int // switches from a coordinator to this host's own choice
+	overdue     *expvar.Int // targets with overdue attempts announced to all hosts
 	ejected     *expvar.Int // ejections by this host as coordinator
-	dropped     *expvar.Int // messages the peer link did not take
+	dropped     *expvar.Int // messages that the peer link did not accept
 }
 
 func newCounters(m *metrics.Set) counters {
@@ -30,16 +30,16 @@
 	}
 }
 
-// ServiceState is what the metrics show of one service on this host.
+// ServiceState is the state of one service on this host, as shown in the metrics.
 type ServiceState struct {
-	// Coordinated is false while this host chooses alone.
+	// Coordinated is false while this host chooses targets on its own.
 	Coordinated bool `json:"coordinated"`
-	// InFlight and Queued are those of the state that this host keeps; they are
-	// those of all hosts if it is the coordinator.
+	// InFlight and Queued are the attempts and waiting calls known to this host's coordinator
+	// state. They cover all hosts if this host is the coordinator.
 	InFlight int `json:"in_flight"`
 	Queued   int `json:"queued"`
 	Ejected  int `json:"ejected"`
-	// ExpectedWait is how long a call that came now would wait for a slot.
+	// ExpectedWait is how long a call arriving now would wait for a slot.
 	ExpectedWait time.Duration `json:"expected_wait_ns"`
 }
 
--- a/slots/probe.go
+++ b/slots/probe.go
@@ -7,14 +7,14 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// StaleTarget is a target of which calls tell nothing.
+// StaleTarget is a target whose state is out of date because no calls show it.
 type StaleTarget struct {
 	Service blackboard.ServiceKey
 	Target  blackboard.Target
 }
 
-// Stale returns the targets worth a probe: those of services that this host
-// coordinates which had no call for a while, or are ejected.
+// Stale returns the targets to probe: those of services coordinated by this host that had no
+// calls for a while or are ejected.
 func (s *Picker) Stale(now time.Time) []StaleTarget {
 	var out []StaleTarget
 	members := s.deps.Board.Members.Load()
@@ -32,7 +32,7 @@
 
 func (v *service) stale(now time.Time, list []blackboard.Target) []StaleTarget {
 	var ids []ports.HostID
-	v.do(func(time.Time) { ids = v.coordinator.Stale(now) })
+	v.process(func(time.Time) { ids = v.coordinator.Stale(now) })
 	wanted := make(map[ports.HostID]bool, len(ids))
 	for _, id := range ids {
 		wanted[id] = true
@@ -46,10 +46,10 @@
 	return out
 }
 
-// RecordProbe takes the result of a probe; a negative load means that none was
-// reported. A bad answer alone never ejects a target.
+// RecordProbe records the result of a probe; a negative load means that none was reported. A
+// failed probe alone never ejects a target.
 func (s *Picker) RecordProbe(key blackboard.ServiceKey, id ports.HostID, ok bool, load int) {
 	if svc := s.service(key); svc != nil {
-		svc.do(func(now time.Time) { svc.coordinator.Probed(now, id, ok, load) })
+		svc.process(func(now time.Time) { svc.coordinator.Probed(now, id, ok, load) })
 	}
 }
--- a/slots/random_test.go
+++ b/slots/random_test.go
@@ -31,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// fault is one step of a script.
+// fault is one step of a script of random faults.
 type fault struct {
 	After  time.Duration
 	What   string
@@ -55,40 +55,40 @@
 	}), 1, 12).Draw(t, "script")
 }
 
-// Hosts call all the time while the links between them are cut and healed, the
-// coordinator moves, vanishes or is another for each host, and targets drain,
-// of which each host hears at another time. Every pick ends by its deadline; no
-// grant goes to a target that its host knew to be leaving for two seconds (the
-// program asserts it); and when the calls end, every slot is free in the state of each coordinator.
+// Hosts send calls all the time while links between them are cut and healed, the coordinator
+// moves, vanishes or differs between hosts, and targets drain, which each host learns at a
+// different time. Every pick ends by its deadline. No grant goes to a target that its host has
+// known to be leaving for two seconds (checked by an invariant). After all calls end, each
+// coordinator's state shows every slot as free.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := drawScript(rt)
 		seed := rapid.Uint64().Draw(rt, "seed")
 		var failures []string
-		synctest.Test(t, func(*testing.T) { failures = playScript(script, seed) })
+		synctest.Test(t, func(*testing.T) { failures = runScript(script, seed) })
 		if len(failures) > 0 {
 			rt.Fatalf("%v", failures)
 		}
 	})
 }
 
-// play is one run of a script.
-type play struct {
+// scriptRun is one run of a script.
+type scriptRun struct {
 	*cluster
 	mu       sync.Mutex
 	failures []string
 	leaving  map[ports.HostID]time.Time
 }
 
-func (p *play) fail(format string, args ...any) {
+func (p *scriptRun) fail(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.failures = append(p.failures, fmt.Sprintf(format, args...))
 }
 
-func playScript(script []fault, seed uint64) []string {
+func runScript(script []fault, seed uint64) []string {
 	svc := declare.Service{Slots: 2, MaxQueue: 8, ColdStart: 500 * time.Millisecond}
-	p := &play{
+	p := &scriptRun{
 		cluster: newCluster(scriptHosts, scriptTargets, svc),
 		leaving: make(map[ports.HostID]time.Time),
 	}
@@ -101,7 +101,7 @@
 	}
 	for _, f := range script {
 		time.Sleep(f.After)
-		p.inflict(f)
+		p.apply(f)
 	}
 	time.Sleep(3 * time.Second)
 	close(stop)
@@ -117,10 +117,9 @@
 	return p.failures
 }
 
-// checkState starts one long call on each host and sees whether the state of the
-// coordinator come to hold these and nothing else. The hosts go on sending
-// heartbeats, so that nothing is freed just because a host fell silent.
-func (p *play) checkState(coordinator ports.HostID) {
+// checkState starts one long call on each host and checks that the coordinator's state holds
+// exactly these. The hosts keep sending heartbeats, so no slot is freed by a host timeout.
+func (p *scriptRun) checkState(coordinator ports.HostID) {
 	var held []pick.Grant
 	for _, h := range p.hosts {
 		if g, _ := h.pickFor(time.Second, pick.Request{}); g != nil {
@@ -128,23 +127,23 @@
 		}
 	}
 	time.Sleep(700 * time.Millisecond)
-	p.expectHeld(coordinator, len(held))
+	p.expectInFlight(coordinator, len(held))
 	for _, g := range held {
 		g.Release(pick.Report{Class: pick.OK, Latency: time.Second, Load: -1})
 	}
 	time.Sleep(10 * time.Millisecond)
-	p.expectHeld(coordinator, 0)
+	p.expectInFlight(coordinator, 0)
 }
 
-func (p *play) expectHeld(id ports.HostID, want int) {
+func (p *scriptRun) expectInFlight(id ports.HostID, want int) {
 	for _, h := range p.hosts {
-		if n := h.held(); h.id == id && n != want {
+		if n := h.inFlight(); h.id == id && n != want {
 			p.fail("%s holds %d slots, want %d", id, n, want)
 		}
 	}
 }
 
-func (p *play) inflict(f fault) {
+func (p *scriptRun) apply(f fault) {
 	other := p.hosts[(f.Host+1)%scriptHosts].id
 	id := p.hosts[f.Host].id
 	switch f.What {
@@ -162,15 +161,15 @@
 	case "nobody":
 		p.setCoordinator("")
 	case "lists differ":
-		p.name(id) // only hosts whose view changes later hear of it
+		p.setNext(id) // only hosts whose view changes later notice
 		p.hosts[f.Target%scriptHosts].touchMembers()
 	case "drain":
 		p.drain(ports.HostID(fmt.Sprintf("t%02d", f.Target)))
 	}
 }
 
-// drain tells the hosts of a leaving target one after the other.
-func (p *play) drain(id ports.HostID) {
+// drain marks a target as leaving on one host after the other.
+func (p *scriptRun) drain(id ports.HostID) {
 	p.mu.Lock()
 	if p.leaving[id].IsZero() {
 		p.leaving[id] = time.Now()
@@ -185,8 +184,8 @@
 	}
 }
 
-// calls makes one call after the other.
-func (p *play) calls(h *testHost, rng *rand.Rand, stop <-chan struct{}) {
+// calls sends one call after another until stop is closed.
+func (p *scriptRun) calls(h *testHost, rng *rand.Rand, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
@@ -197,7 +196,7 @@
 		began := time.Now()
 		g, refusal := h.pickFor(deadline, pick.Request{Alone: rng.IntN(20) == 0, Hedge: rng.IntN(20) == 0})
 		if waited := time.Since(began); waited > deadline {
-			p.fail("a pick with %s to go took %s", deadline, waited)
+			p.fail("a pick with a deadline of %s took %s", deadline, waited)
 		}
 		if g == nil {
 			if refusal.Outcome != outcome.NotRun || !refusal.Reason.Valid() {
@@ -209,8 +208,8 @@
 	}
 }
 
-// run holds a grant as long as its call takes, and reports how it went.
-func (p *play) run(g pick.Grant, rng *rand.Rand) {
+// run holds a grant for the duration of its call and releases it with a random result.
+func (p *scriptRun) run(g pick.Grant, rng *rand.Rand) {
 	took := time.Duration(1+rng.IntN(12)) * time.Millisecond
 	p.mu.Lock()
 	leaving := p.leaving[g.Target().ID]
--- a/slots/service.go
+++ b/slots/service.go
@@ -19,35 +19,34 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// leavingGrace is how long after the first sign of leaving a target may still
-// be handed out.
+// leavingGrace is how long a target may still be granted after it became known to be leaving.
 const leavingGrace = 2 * time.Second
 
-// service is one service on this host: its session, and the coordinator that it keeps
-// when it is coordinator. The lock is held for computing only, never while a
-// message is sent.
+// service is the state of one service on this host: the session, which is the entry host's side
+// of the protocol, and the coordinator state, which is used while this host is the coordinator.
+// The lock is held only for computation, never while a message is sent.
 type service struct {
-	owner *Picker
-	key   blackboard.ServiceKey
+	picker *Picker
+	key    blackboard.ServiceKey
 
 	mu          sync.Mutex
 	session     *session.Session
 	coordinator *grant.Coordinator
 	waiters     map[grant.CallID]*waiter
-	seen        versions
+	applied     versions
 	timer       *time.Timer
 	due         time.Time
 	stopped     bool
-	fallback    bool // as last logged
+	fallback    bool // whether this host chose on its own, as last logged
 }
 
-// versions are those of the blackboard's sections that were taken in.
+// versions are the versions of the blackboard sections at the last refresh.
 type versions struct {
 	config, members, targets uint64
-	any                      bool
+	set                      bool
 }
 
-// waiter is a Pick that waits. done is closed when decision is set.
+// waiter is a Pick in progress. done is closed once decision is set.
 type waiter struct {
 	id       grant.CallID
 	ctx      context.Context
@@ -57,7 +56,7 @@
 
 func newService(s *Picker, key blackboard.ServiceKey, seed uint64) *service {
 	return &service{
-		owner:       s,
+		picker:      s,
 		key:         key,
 		session:     session.New(key, s.epoch, rand.New(rand.NewPCG(seed, 2))),
 		coordinator: grant.NewCoordinator(key, rand.New(rand.NewPCG(seed, 3))),
@@ -65,43 +64,43 @@
 	}
 }
 
-// do runs one event under the lock, settles what follows from it on this host,
-// and sends the messages afterwards.
-func (v *service) do(event func(now time.Time)) {
+// process runs one event under the lock, exchanges the resulting messages within this host, and
+// sends those for other hosts after releasing the lock.
+func (v *service) process(event func(now time.Time)) {
 	v.mu.Lock()
 	now := time.Now()
 	v.refresh(now)
 	event(now)
-	out := v.settle(now)
-	v.arm(now)
+	out := v.deliverLocal(now)
+	v.armTimer(now)
 	v.mu.Unlock()
-	v.owner.send(out)
+	v.picker.send(out)
 }
 
-// refresh takes in what changed on the blackboard.
+// refresh applies changes on the blackboard to the session and the coordinator.
 func (v *service) refresh(now time.Time) {
-	board := v.owner.deps.Board
+	board := v.picker.deps.Board
 	next := versions{board.Config.Version(), board.Members.Version(), board.Targets.Version(), true}
-	if next == v.seen {
+	if next == v.applied {
 		return
 	}
-	first := !v.seen.any
-	if first || next.config != v.seen.config {
+	first := !v.applied.set
+	if first || next.config != v.applied.config {
 		v.configure()
 	}
-	if first || next.targets != v.seen.targets {
+	if first || next.targets != v.applied.targets {
 		list := board.Targets.Load().ByService[v.key]
 		v.session.SetTargets(now, list)
 		v.coordinator.SetTargets(now, list)
 	}
-	if first || next.members != v.seen.members {
+	if first || next.members != v.applied.members {
 		v.setMembers(now, board.Members.Load())
 	}
-	v.seen = next
+	v.applied = next
 }
 
 func (v *service) configure() {
-	ws, ok := v.owner.deps.Board.Config.Load().Workspace(v.key.Workspace)
+	ws, ok := v.picker.deps.Board.Config.Load().Workspace(v.key.Workspace)
 	if !ok {
 		return
 	}
@@ -112,10 +111,10 @@
 }
 
 func (v *service) setMembers(now time.Time, m *blackboard.Members) {
-	if self, found := m.Find(v.owner.self); found {
+	if self, found := m.Find(v.picker.self); found {
 		v.session.SetZone(self.Host.Zone)
 	}
-	id, ok := v.owner.deps.Coordinator(v.key, m)
+	id, ok := v.picker.deps.Coordinator(v.key, m)
 	v.session.SetCoordinator(now, id, ok)
 	for _, h := range v.coordinator.Hosts() {
 		if _, found := m.Find(h); !found {
@@ -124,35 +123,35 @@
 	}
 }
 
-// settle passes messages between the session and the coordinator of this host until
-// nothing is left, and returns those for other hosts.
-func (v *service) settle(now time.Time) outbox {
+// deliverLocal passes messages between this host's session and coordinator until none is left,
+// and returns those for other hosts.
+func (v *service) deliverLocal(now time.Time) outbox {
 	var out outbox
 	for {
 		o := v.session.Take()
 		v.decide(now, o.Decisions)
 		out.overdue = append(out.overdue, o.Overdue...)
-		if o.To == v.owner.self {
+		if o.To == v.picker.self {
 			v.coordinator.Receive(now, o.To, o.Frame)
 		} else if o.To != "" {
-			out.frames = append(out.frames, frameTo{o.To, o.Frame})
+			out.frames = append(out.frames, outgoingFrame{o.To, o.Frame})
 		}
-		own := false
+		sentToSelf := false
 		v.coordinator.Flush(now, func(to ports.HostID, t grant.Tell) {
 			t.Grants = slices.Clone(t.Grants)
 			t.Refusals = slices.Clone(t.Refusals)
-			if to == v.owner.self {
-				own = true
+			if to == v.picker.self {
+				sentToSelf = true
 				v.session.Told(now, to, t)
 				return
 			}
-			out.tells = append(out.tells, tellTo{to, t})
+			out.replies = append(out.replies, outgoingReply{to, t})
 		})
-		if !own && o.To != v.owner.self {
+		if !sentToSelf && o.To != v.picker.self {
 			break
 		}
 	}
-	v.note(out.overdue)
+	v.recordChanges(out.overdue)
 	if len(out.overdue) > 0 {
 		out.key = v.key
 	}
@@ -163,7 +162,7 @@
 	for _, d := range list {
 		w := v.waiters[d.ID]
 		if w == nil {
-			continue // canceled in the same event
+			continue // canceled by the same event
 		}
 		if d.Reason == "" {
 			v.checkLeaving(now, d.Target.ID)
@@ -174,10 +173,10 @@
 	}
 }
 
-// checkLeaving asserts that a target which has been leaving for a while is not
-// handed out.
+// checkLeaving asserts that a target that has been leaving for longer than leavingGrace is not
+// granted.
 func (v *service) checkLeaving(now time.Time, id ports.HostID) {
-	list := v.owner.deps.Board.Targets.Load().ByService[v.key]
+	list := v.picker.deps.Board.Targets.Load().ByService[v.key]
 	i, found := slices.BinarySearchFunc(list, id, func(t blackboard.Target, id ports.HostID) int {
 		return cmp.Compare(t.ID, id)
 	})
@@ -188,15 +187,15 @@
 	invariant.Check(since <= leavingGrace, invariant.LeavingIdle, "%s of %s, leaving for %s", id, v.key, since)
 }
 
-func brokenRelease(id ports.HostID) {
+func reportDoubleRelease(id ports.HostID) {
 	invariant.Broken(invariant.SlotAccount, "grant of "+string(id)+" released twice")
 }
 
-// ask starts a pick.
-func (v *service) ask(ctx context.Context, req pick.Request) *waiter {
+// startPick passes a pick to the session and returns its waiter.
+func (v *service) startPick(ctx context.Context, req pick.Request) *waiter {
 	deadline, _ := ctx.Deadline()
 	w := &waiter{ctx: ctx, done: make(chan struct{})}
-	v.do(func(now time.Time) {
+	v.process(func(now time.Time) {
 		w.id = v.session.NextID()
 		v.waiters[w.id] = w
 		v.session.Ask(now, req, deadline)
@@ -204,9 +203,10 @@
 	return w
 }
 
-// cancel ends a pick whose context ended, unless it was decided just before.
+// cancel withdraws a pick whose context ended. A grant that was decided meanwhile is given
+// back.
 func (v *service) cancel(w *waiter) {
-	v.do(func(now time.Time) {
+	v.process(func(now time.Time) {
 		select {
 		case <-w.done:
 			if w.decision.Reason == "" {
@@ -224,20 +224,20 @@
 	w.decision = session.Decision{ID: w.id, Reason: reason}
 }
 
-func (v *service) end(id grant.CallID, r pick.Report) {
-	v.do(func(now time.Time) { v.session.End(now, id, r) })
+func (v *service) endAttempt(id grant.CallID, r pick.Report) {
+	v.process(func(now time.Time) { v.session.End(now, id, r) })
 }
 
 func (v *service) tick() {
-	v.do(func(now time.Time) {
+	v.process(func(now time.Time) {
 		v.due = time.Time{}
 		v.session.Tick(now)
 		v.coordinator.Tick(now)
 	})
 }
 
-// arm sets the timer for the next tick.
-func (v *service) arm(now time.Time) {
+// armTimer schedules the next tick.
+func (v *service) armTimer(now time.Time) {
 	next := v.coordinator.Next()
 	if n := v.session.Next(); n > 0 && (next == 0 || n < next) {
 		next = n
--- a/slots/slots.go
+++ b/slots/slots.go
@@ -1,8 +1,11 @@
-// Package slots chooses targets with the other entry hosts. For each service
-// one host is coordinator and grants slots; this package asks it, is it when
-// the choice falls on this host, and chooses alone while no coordinator
-// answers. The decisions are in policy/grant, policy/session and
-// policy/choice; here are only the lock, the timers and the messages.
+// Package slots chooses targets in coordination with the other entry hosts. For each service
+// one host is the coordinator, which grants the slots of the targets to the attempts of all
+// hosts. This package requests grants from it, acts as coordinator for the services assigned to
+// this host, and falls back to a local choice while no coordinator responds.
+//
+// The decisions are made by pure state machines in policy/grant (coordinator), policy/session
+// (entry host) and policy/choice (local choice). This package holds the lock, timers, messages
+// and metrics around them.
 package slots
 
 import (
@@ -24,38 +27,39 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Messages between hosts.
+// Kinds of messages between hosts.
 const (
 	kindFrame peer.Kind = peer.KindSlots + iota
 	kindTell
 	kindOverdue
 )
 
-// CoordinatorFunc returns the coordinator of a service; false means none.
+// CoordinatorFunc returns the coordinator of a service, and false if there is none.
 type CoordinatorFunc func(blackboard.ServiceKey, *blackboard.Members) (ports.HostID, bool)
 
-// Deps is what a Slots works with.
+// Deps are the dependencies of a Picker.
 type Deps struct {
 	Board       *blackboard.Board
 	Link        peer.Link
 	Coordinator CoordinatorFunc
 	Metrics     *metrics.Set
 	Log         *zap.Logger
-	// Seed starts the random choices among equal targets.
+	// Seed seeds the random choices among equal targets.
 	Seed uint64
-	// OnLeaving, if set, is called when a target's own answer said that it is
-	// leaving. It must not block.
+	// OnLeaving, if set, is called when a response shows that its target is leaving. It must
+	// not block.
 	OnLeaving func(blackboard.ServiceKey, ports.HostID)
 }
 
-// Picker is the pick.Picker of one daemon.
+// Picker is a pick.Picker that shares the slots of targets with other hosts through
+// coordinators. It is safe for concurrent use.
 type Picker struct {
 	deps  Deps
 	self  ports.HostID
 	epoch uint64
 	count counters
 
-	mu       sync.Mutex // serialises the making of services
+	mu       sync.Mutex // serializes the creation of services
 	rng      *rand.Rand
 	services atomic.Pointer[map[blackboard.ServiceKey]*service]
 	closed   atomic.Bool
@@ -63,7 +67,7 @@
 
 var _ pick.Picker = (*Picker)(nil)
 
-// New returns a picker and registers its messages with the link.
+// New returns a Picker and registers its message handlers with the link.
 func New(d Deps) *Picker {
 	s := &Picker{
 		deps:  d,
@@ -81,7 +85,7 @@
 	return s
 }
 
-// Close stops all timers. Waiting picks end with their contexts.
+// Close stops all timers. Picks in progress end with their contexts.
 func (s *Picker) Close() {
 	s.closed.Store(true)
 	for _, svc := range *s.services.Load() {
@@ -89,7 +93,8 @@
 	}
 }
 
-// service returns the state of a service, or nil if it is not declared.
+// service returns the state of a service, creating it on first use, or nil if the service is
+// not declared.
 func (s *Picker) service(key blackboard.ServiceKey) *service {
 	if svc := (*s.services.Load())[key]; svc != nil {
 		return svc
@@ -119,13 +124,13 @@
 	return ok
 }
 
-// Pick waits for a target until ctx ends.
+// Pick implements pick.Picker.
 func (s *Picker) Pick(ctx context.Context, req pick.Request) (pick.Grant, outcome.Result) {
 	svc := s.service(req.Service)
 	if svc == nil {
 		return nil, s.refuse(outcome.ReasonNoRoute)
 	}
-	w := svc.ask(ctx, req)
+	w := svc.startPick(ctx, req)
 	select {
 	case <-w.done:
 	case <-ctx.Done():
@@ -140,7 +145,7 @@
 	} else {
 		s.count.coordinated.Add(1)
 	}
-	return &held{service: svc, id: d.ID, target: d.Target}, outcome.Result{}
+	return &heldGrant{service: svc, id: d.ID, target: d.Target}, outcome.Result{}
 }
 
 func (s *Picker) refuse(r outcome.Reason) outcome.Result {
@@ -148,25 +153,25 @@
 	return outcome.Refuse(r)
 }
 
-// held is a grant in the caller's hands.
-type held struct {
+// heldGrant is a grant that was handed to a caller.
+type heldGrant struct {
 	service  *service
 	id       grant.CallID
 	target   blackboard.Target
 	released atomic.Bool
 }
 
-// Target returns where the attempt goes.
-func (h *held) Target() blackboard.Target { return h.target }
+// Target implements pick.Grant.
+func (h *heldGrant) Target() blackboard.Target { return h.target }
 
-// Release ends the grant.
-func (h *held) Release(r pick.Report) {
+// Release implements pick.Grant. Releasing twice breaks an invariant.
+func (h *heldGrant) Release(r pick.Report) {
 	if h.released.Swap(true) {
-		brokenRelease(h.target.ID)
+		reportDoubleRelease(h.target.ID)
 	}
-	h.service.end(h.id, r)
+	h.service.endAttempt(h.id, r)
 	leaving := r.LeavingHint || r.Class == pick.Leaving
-	if f := h.service.owner.deps.OnLeaving; leaving && f != nil {
+	if f := h.service.picker.deps.OnLeaving; leaving && f != nil {
 		f(h.service.key, h.target.ID)
 	}
 }
--- a/slots/slots_test.go
+++ b/slots/slots_test.go
@@ -27,20 +27,20 @@
 		}
 		synctest.Wait()
 		assert.Equal(t, len(seen), 2, "%v", seen)
-		assert.Equal(t, c.hosts[0].held(), 3)
+		assert.Equal(t, c.hosts[0].inFlight(), 3)
 		for _, g := range grants {
 			g.Release(pick.Report{Class: pick.OK, Latency: time.Millisecond, Load: -1})
 		}
 		time.Sleep(10 * time.Millisecond)
-		assert.Equal(t, c.hosts[0].held(), 0)
+		assert.Equal(t, c.hosts[0].inFlight(), 0)
 	})
 }
 
-// The coordinator is cut off in both directions while calls come. The caller
-// sees nothing but a wait of a few milliseconds on the first call: its host
-// stops waiting and chooses alone. When the cut heals, the coordinator decides
-// again and its state holds what was started meanwhile.
-func TestSilentCoordinatorDelaysOneCallByMilliseconds(t *testing.T) {
+// The coordinator is partitioned from a host in both directions while calls arrive. Only the
+// first call waits a few milliseconds, until the host falls back to its own choice. After the
+// partition heals, the coordinator decides again and its state includes what was started
+// meanwhile.
+func TestUnresponsiveCoordinatorDelaysOneCallByMilliseconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2, 4, declare.Service{Slots: 2})
 		defer c.close(t)
@@ -58,10 +58,10 @@
 		assert.Equal(t, time.Since(began), time.Duration(0), "later calls do not wait")
 		c.net.Heal()
 		time.Sleep(time.Second)
-		assert.Equal(t, c.hosts[0].held(), 1)
+		assert.Equal(t, c.hosts[0].inFlight(), 1)
 		g.Release(pick.Report{Class: pick.OK, Latency: time.Second, Load: -1})
 		time.Sleep(10 * time.Millisecond)
-		assert.Equal(t, c.hosts[0].held(), 0)
+		assert.Equal(t, c.hosts[0].inFlight(), 0)
 		assert.Equal(t, h.count("slots_fallbacks"), int64(1))
 	})
 }
@@ -94,13 +94,13 @@
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		close(hold)
 		time.Sleep(time.Second)
-		assert.Equal(t, c.hosts[0].held(), 0)
+		assert.Equal(t, c.hosts[0].inFlight(), 0)
 	})
 }
 
-// The coordinator dies with grants out and the hosts agree on another one. No
-// call loses its answer: those in flight end as usual, and the new coordinator
-// learns of them from the hosts that have them.
+// The coordinator fails with grants in use and the hosts agree on another one. No call loses
+// its response: calls in flight end as usual, and the new coordinator learns of them from their
+// hosts.
 func TestNewCoordinatorLearnsWhatIsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(3, 2, declare.Service{Slots: 2})
@@ -110,17 +110,17 @@
 		c.setCoordinator("h1")
 		assert.Equal(t, c.hosts[2].call(time.Millisecond).Outcome, outcome.Answered)
 		time.Sleep(10 * time.Millisecond)
-		assert.Equal(t, c.hosts[1].held(), 1)
+		assert.Equal(t, c.hosts[1].inFlight(), 1)
 		g.Release(pick.Report{Class: pick.OK, Latency: time.Millisecond, Load: -1})
 		time.Sleep(10 * time.Millisecond)
-		assert.Equal(t, c.hosts[1].held(), 0)
+		assert.Equal(t, c.hosts[1].inFlight(), 0)
 		assert.Equal(t, c.hosts[2].count("slots_fallbacks"), int64(0))
 	})
 }
 
-// The host has known for three seconds that a target is leaving; the
-// coordinator's list lags and it grants just that one. The host gives the slot
-// back and asks again, so that the caller gets the other target.
+// A host has known for three seconds that a target is leaving, while the coordinator's list
+// lags and it grants that target. The host returns the slot and asks again, so that the caller
+// gets the other target.
 func TestHostRefusesAGrantForATargetThatLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2, 2, declare.Service{Slots: 2})
@@ -140,13 +140,13 @@
 			g.Release(pick.Report{Class: pick.OK, Latency: time.Millisecond, Load: -1})
 		}
 		time.Sleep(10 * time.Millisecond)
-		assert.Equal(t, c.hosts[0].held(), 0)
+		assert.Equal(t, c.hosts[0].inFlight(), 0)
 	})
 }
 
-// A target says in an answer to one host that it is draining, seconds before
-// the list does. From then on no host gets it, since the coordinator knows.
-func TestSignOfLeavingAtOneHostCountsForAll(t *testing.T) {
+// A target's response to one host says that it is draining, seconds before the list does. From
+// then on no host gets it, since the coordinator knows.
+func TestLeavingHintAtOneHostAppliesToAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(3, 3, declare.Service{Slots: 2})
 		defer c.close(t)
@@ -176,7 +176,7 @@
 	})
 }
 
-func TestPickThatIsGivenUpLeavesNothingBehind(t *testing.T) {
+func TestCanceledPickHoldsNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(2, 1, declare.Service{Slots: 1})
 		defer c.close(t)
@@ -191,7 +191,7 @@
 			g.Release(pick.Report{Class: pick.OK, Latency: time.Millisecond, Load: -1})
 		}
 		time.Sleep(10 * time.Millisecond)
-		assert.Equal(t, c.hosts[0].held(), 0)
+		assert.Equal(t, c.hosts[0].inFlight(), 0)
 		assert.Equal(t, c.hosts[1].call(time.Millisecond).Outcome, outcome.Answered)
 	})
 }
