--- a/targetapi/signals.go
+++ b/targetapi/signals.go
@@ -7,54 +7,55 @@
 	"time"
 )
 
-// Signals are what a target says of itself in an answer, whatever the answer's status.
+// Signals are what a target reports about itself in a response, whatever its status.
 type Signals struct {
-	// Load is what the target has to do; HasLoad is false if it does not say.
+	// Load is the target's load report; HasLoad is false if there is none.
 	Load    Load
 	HasLoad bool
-	// WarmUp is how much longer the target is cold.
+	// WarmUp is the remaining warm-up time of a cold target.
 	WarmUp time.Duration
-	// Leaving is set if the target is to stop.
+	// Leaving is set if the target is about to stop.
 	Leaving bool
 	Limit   Limit
-	// RetryAfter is how long the target wants nothing from this host; 0 if it does not say.
+	// RetryAfter is how long the target asks this host to send it nothing; 0 if it does not.
 	RetryAfter time.Duration
 }
 
-// Limit is how many requests a target takes from all hosts together. The zero value is none.
+// Limit is the number of requests that a target accepts from all hosts together. The zero value
+// means unlimited.
 type Limit struct {
 	Named bool
-	// PerSecond is in requests a second.
+	// PerSecond is the rate in requests per second.
 	PerSecond float64
 }
 
-// Signals returns what an answer tells of its target. What can not be read says nothing.
+// Signals returns the signals in a response. Malformed headers are treated as missing.
 func (c *Contract) Signals(status int, h http.Header) (s Signals) {
 	s.Load, s.HasLoad = c.loadOf(h)
 	s.WarmUp = c.warmUpOf(h)
 	s.Leaving = c.Leaving != "" && h.Get(c.Leaving) == Yes
 	s.Limit = c.limitOf(h)
-	s.RetryAfter = restOf(status, h)
+	s.RetryAfter = retryAfterOf(status, h)
 	return s
 }
 
-// restOf reads the Retry-After of a refusal. A date in its place is not read.
-func restOf(status int, h http.Header) time.Duration {
+// retryAfterOf returns the Retry-After of a refusal. HTTP dates are not supported.
+func retryAfterOf(status int, h http.Header) time.Duration {
 	if status != http.StatusServiceUnavailable {
 		return 0
 	}
-	n, ok := number(h.Get("Retry-After"))
+	n, ok := parseNonNegative(h.Get("Retry-After"))
 	if !ok {
 		return 0
 	}
-	return time.Duration(min(n, maxRest.Seconds()) * float64(time.Second))
+	return time.Duration(min(n, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// maxRest is far beyond what any target asks for.
-const maxRest = 24 * time.Hour
+// maxRetryAfter caps Retry-After far above what any target asks for.
+const maxRetryAfter = 24 * time.Hour
 
-// number reads a decimal number that is not negative.
-func number(s string) (float64, bool) {
+// parseNonNegative parses a non-negative decimal number.
+func parseNonNegative(s string) (float64, bool) {
 	n, err := strconv.ParseFloat(s, 64)
 	ok := err == nil && !math.IsNaN(n) && !math.IsInf(n, 0) && n >= 0
 	return n, ok
@@ -73,7 +74,7 @@
 	}
 	d, err := time.ParseDuration(h.Get(c.WarmUp))
 	if err != nil {
-		return 0 // what can not be read says nothing; the record still does
+		return 0 // as if missing; the platform's record still applies
 	}
 	return max(0, d)
 }
@@ -82,7 +83,7 @@
 	if c.Limit == "" {
 		return Limit{}
 	}
-	n, ok := number(h.Get(c.Limit))
+	n, ok := parseNonNegative(h.Get(c.Limit))
 	if !ok {
 		return Limit{}
 	}
--- a/targetapi/signals_test.go
+++ b/targetapi/signals_test.go
@@ -21,7 +21,7 @@
 	assert.Equal(t, new(Contract).Signals(200, h), Signals{})
 }
 
-func TestRestIsReadFromRefusalsAlone(t *testing.T) {
+func TestRetryAfterIsReadFromRefusalsOnly(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		value  string
@@ -32,7 +32,7 @@
 		{503, "", 0},
 		{503, "-1", 0},
 		{503, "Fri, 04 Dec 2026 00:00:00 GMT", 0},
-		{503, "1e300", maxRest},
+		{503, "1e300", maxRetryAfter},
 		{200, "3", 0},
 		{429, "3", 0},
 	} {
