--- a/backpressure/backpressure.go
+++ b/backpressure/backpressure.go
@@ -232,7 +232,7 @@
 	if s.RetryAfter > 0 {
 		p.count.backoffs.Add(1)
 		if p.backoffs.add(service, t, s.RetryAfter) {
-			p.log.info("target asked for a pause with Retry-After", zap.String("target", string(t.Run())), zap.String("service", service.Service),
+			p.log.info("target asks for rest", zap.String("target", string(t.Run())), zap.String("service", service.Service),
 				zap.Duration("rest", s.RetryAfter))
 		}
 	}
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -101,7 +101,7 @@
 // logChange logs and counts a change of a target's limit as known to this host.
 func (l *limits) logChange(run ports.RunID, before, now targetapi.Limit, source string) {
 	l.count.changed.Add(1)
-	l.log.info("target changed its request limit", zap.String("target", string(run)), zap.Bool("named", now.Named),
+	l.log.info("target names a limit", zap.String("target", string(run)), zap.Bool("named", now.Named),
 		zap.Float64("per_second", now.PerSecond), zap.Bool("named_before", before.Named),
 		zap.Float64("before", before.PerSecond), zap.String("source", source))
 }
--- a/placer/target.go
+++ b/placer/target.go
@@ -134,9 +134,9 @@
 
 // Log messages for changes of a target's state as seen by this host.
 const (
-	msgReachable   = "target is reachable again"
-	msgUnreachable = "target is unreachable"
+	msgReachable   = "target reached again"
+	msgUnreachable = "target can not be reached"
 	msgLeaving     = "target leaving by its own answer"
-	msgEjected     = "target excluded because of its failure rate"
-	msgCold        = "target reports that it is cold"
+	msgEjected     = "target left out for its failures"
+	msgCold        = "target cold by its own answer"
 )
