--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -161,7 +161,7 @@
 	a.status = resp.StatusCode
 	d.recordSignals(c, a, req, resp)
 	switch {
-	case !ct.Belongs(req.Header, resp.Header, resp.StatusCode):
+	case !ct.IsAnswerTo(req.Header, resp.Header, resp.StatusCode):
 		// The target responded to an earlier request a second time, in place of the
 		// response to this one. Responses on this connection can no longer be matched to
 		// their requests.
@@ -171,7 +171,7 @@
 		a.discard(resp, a.class)
 	case ct.IsShed(resp.StatusCode, resp.Header):
 		a.endShed(resp)
-	case !ct.Sealed(resp.Header), ct.Promises(resp.StatusCode):
+	case !ct.HasSeal(resp.Header), ct.IsNotRunStatus(resp.StatusCode):
 		// The response isn't sealed, or its status is one that callers read as a guarantee that
 		// the request did not run.
 		d.endForeign(a, resp)
@@ -185,7 +185,7 @@
 // request, is ignored.
 func (d *Dispatcher) recordSignals(c *Call, a *attempt, req *http.Request, resp *http.Response) {
 	ct := d.contract
-	if ct.IsMisdirected(resp.StatusCode) || !ct.Belongs(req.Header, resp.Header, resp.StatusCode) {
+	if ct.IsMisdirected(resp.StatusCode) || !ct.IsAnswerTo(req.Header, resp.Header, resp.StatusCode) {
 		return
 	}
 	a.signals = ct.Signals(resp.StatusCode, resp.Header)
@@ -261,7 +261,7 @@
 	}
 	if a.signals.HasLoad {
 		rep.Load = a.signals.Load.Running + a.signals.Load.Waiting
-		rep.Work = a.signals.Load
+		rep.TargetLoad = a.signals.Load
 	}
 	rep.LeavingHint = a.signals.Leaving
 	a.reportQuarantine(class)
--- a/dispatch/contract_test.go
+++ b/dispatch/contract_test.go
@@ -21,8 +21,8 @@
 func testContract() *targetapi.Contract {
 	return &targetapi.Contract{
 		RequestID: "Id", Timeout: "Left", Target: "For", Seal: "Seal", Shed: "Not-Run", Load: "Load",
-		ReadLoad:        func(string) (targetapi.Load, bool) { return targetapi.Load{}, false },
-		PromiseStatuses: []int{http.StatusTooManyRequests, http.StatusServiceUnavailable},
+		ReadLoad:       func(string) (targetapi.Load, bool) { return targetapi.Load{}, false },
+		NotRunStatuses: []int{http.StatusTooManyRequests, http.StatusServiceUnavailable},
 	}
 }
 
@@ -147,7 +147,7 @@
 	contract := testContract()
 	for _, reason := range outcome.Reasons() {
 		status := outcome.Uncertain(reason).Status()
-		assert.Check(t, !contract.Promises(status), "unknown, %s: %d", reason, status)
+		assert.Check(t, !contract.IsNotRunStatus(status), "unknown, %s: %d", reason, status)
 		status = outcome.Refuse(reason).Status()
 		assert.Check(t, status != http.StatusBadGateway && status != http.StatusGatewayTimeout, "not-run, %s: %d", reason, status)
 	}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -26,7 +26,7 @@
 	// Contract names the headers exchanged with targets; nil means targetapi.Default.
 	Contract *targetapi.Contract
 	// SignalListener, if set, receives the signals that targets report in their responses.
-	SignalListener pick.Listener
+	SignalListener pick.SignalHandler
 	// Retries is the budget for retries and hedges; nil means the ratios that each
 	// workspace declares.
 	Retries RetryBudget
@@ -61,7 +61,7 @@
 	quarantine     Quarantine
 	metrics        *metrics.Set
 	contract       *targetapi.Contract
-	signalListener pick.Listener
+	signalListener pick.SignalHandler
 	retries        RetryBudget
 
 	buffers *responseBuffers
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -87,8 +87,8 @@
 	if d.retries == nil {
 		return c.Workspace.HedgeRatio > 0
 	}
-	g, ok := p.grant.(pick.Explained)
-	return ok && g.Basis().Silent
+	g, ok := p.grant.(pick.Explainer)
+	return ok && g.Basis().LoadUnreported
 }
 
 // runHedged sends the first attempt on this goroutine and the hedge on the timer's goroutine, so
--- a/edge/provision.go
+++ b/edge/provision.go
@@ -135,7 +135,7 @@
 		Metrics:   d.metrics,
 		Log:       d.log,
 		OnLeaving: d.markLeaving,
-		Heard:     d.observeSignals,
+		OnSignals: d.observeSignals,
 	})
 	d.provisionPicker()
 	d.provisionCallers()
--- a/edge/quota.go
+++ b/edge/quota.go
@@ -54,7 +54,7 @@
 
 // observeSignals passes the signals of a target's response or probe to the picker.
 func (d *Daemon) observeSignals(key blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
-	d.picker.Heard(key, t, s)
+	d.picker.HandleSignals(key, t, s)
 }
 
 func (d *Daemon) quotaTolerance() policy.Tolerance {
