--- a/backpressure/backpressure.go
+++ b/backpressure/backpressure.go
@@ -200,8 +200,8 @@
 	a := p.asker.Ask(ctx, policy.Request{
 		Name: string(t.Run()),
 		Zone: zoneOf(t.Zone, p.deps.Board.Members.Load()),
-		Left: -1,
-		Word: p.limits.Word(string(t.Run())),
+		Remaining: -1,
+		Observed: p.limits.Word(string(t.Run())),
 	})
 	limit, _ := p.limits.Limit(string(t.Run()))
 	switch {
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -90,7 +90,7 @@
 }
 
 // Hear takes in what another host knows of a target's limit.
-func (l *limits) Hear(run string, w quota.Word) {
+func (l *limits) Hear(run string, w quota.ObservedLimit) {
 	limit := targetapi.Limit{Named: w.Rate > 0, PerSecond: w.Rate}
 	before, taken := l.note(ports.RunID(run), word{limit: limit, at: time.Now().Add(-w.Age)})
 	if taken && before.limit != limit {
@@ -114,14 +114,14 @@
 }
 
 // Word returns what is known of a target's limit, for other hosts.
-func (l *limits) Word(run string) quota.Word {
+func (l *limits) Word(run string) quota.ObservedLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w, known := l.words[ports.RunID(run)]
 	if !known {
-		return quota.Word{}
+		return quota.ObservedLimit{}
 	}
-	return quota.Word{Known: true, Rate: w.rate(), Age: time.Since(w.at)}
+	return quota.ObservedLimit{Known: true, Rate: w.rate(), Age: time.Since(w.at)}
 }
 
 // any reports whether some target of a service named a limit to this host.
--- a/controller/quota/borrow.go
+++ b/controller/quota/borrow.go
@@ -36,7 +36,7 @@
 
 func (c *Controller) borrowFromAll(p *part, name string) {
 	c.mu.Lock()
-	want := p.Want()
+	want := p.BorrowAmount()
 	c.mu.Unlock()
 	lent := make(chan float64, len(c.deps.Others))
 	for _, zone := range c.deps.Others {
@@ -45,7 +45,7 @@
 	for range c.deps.Others {
 		n := <-lent
 		c.mu.Lock()
-		p.Borrowed(time.Now(), n)
+		p.AddBorrowed(time.Now(), n)
 		p.borrowed += n
 		c.mu.Unlock()
 	}
--- a/controller/quota/fleet_test.go
+++ b/controller/quota/fleet_test.go
@@ -194,7 +194,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		r := c.Take(ctx, quota.Request{Name: tenant, Left: -1})
+		r := c.Take(ctx, quota.Request{Name: tenant, Remaining: -1})
 		fl.mu.Lock()
 		defer fl.mu.Unlock()
 		if !h.up || h.c != c {
@@ -272,7 +272,7 @@
 
 // bound is the most requests of a tenant that may be granted within a window.
 func bound(tenant routing.Tenant) float64 {
-	return tolerance.Most(quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}, tolerance.Window)
+	return tolerance.MaxRequests(quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}, tolerance.Window)
 }
 
 // cutZone cuts a zone off from all others.
--- a/controller/quota/messages.go
+++ b/controller/quota/messages.go
@@ -42,13 +42,13 @@
 	// Owner, of elsewhere, is who owns the part; empty if not known.
 	Owner ports.HostID `msgpack:"owner"`
 	// Word is what the owner knows of the limit, where the configuration doesn't say.
-	Word quota.Word `msgpack:"word,omitempty"`
+	Word quota.ObservedLimit `msgpack:"word,omitempty"`
 }
 
 // tellNotice is the body of kindTell.
 type tellNotice struct {
 	Name string     `msgpack:"name"`
-	Word quota.Word `msgpack:"word"`
+	Word quota.ObservedLimit `msgpack:"word"`
 }
 
 // none is the reply to a notification.
--- a/controller/quota/own.go
+++ b/controller/quota/own.go
@@ -20,8 +20,8 @@
 	if owner != c.self {
 		return takeReply{Verdict: elsewhere, Owner: owner}
 	}
-	if req.Word.Known {
-		c.deps.Limits.Hear(req.Name, req.Word)
+	if req.Observed.Known {
+		c.deps.Limits.Hear(req.Name, req.Observed)
 	}
 	reply := c.decideOwn(ctx, req, place)
 	reply.Word = c.deps.Limits.Word(req.Name)
--- a/controller/quota/owners.go
+++ b/controller/quota/owners.go
@@ -64,7 +64,7 @@
 	key := partKey{name, zone}
 	ids, found := c.ranks.list[key]
 	if !found {
-		ids = rendezvous.Ranked(name, zone, followers, c.deps.Board.Members.Load().Members)
+		ids = rendezvous.TopN(name, zone, followers, c.deps.Board.Members.Load().Members)
 		c.ranks.list[key] = ids
 	}
 	return ids
--- a/controller/quota/part.go
+++ b/controller/quota/part.go
@@ -49,7 +49,7 @@
 func (p *part) decide(now time.Time, late bool) takeReply {
 	if !p.Take(now, late) {
 		p.denied++
-		return takeReply{Verdict: denied, Wait: p.Wait(now)}
+		return takeReply{Verdict: denied, Wait: p.RetryAfter(now)}
 	}
 	p.granted++
 	return takeReply{Verdict: granted}
@@ -72,7 +72,7 @@
 	p.usedAt = now
 	if place != p.place || place > 0 && idle > followFor && !p.Small() {
 		p.place = place
-		p.Follow(now.Add(c.handOver))
+		p.TakeOver(now.Add(c.handOver))
 		c.tellOwned(name, place, p.Tokens(now))
 	}
 	return p
@@ -98,9 +98,9 @@
 		arrivals: make(map[string]*quota.Arrivals),
 	}
 	if fresh {
-		p.Start()
+		p.AddStartTokens()
 	} else {
-		p.Follow(since)
+		p.TakeOver(since)
 	}
 	return p
 }
--- a/controller/quota/quota.go
+++ b/controller/quota/quota.go
@@ -55,8 +55,8 @@
 	Limit(name string) (quota.Limit, bool)
 	// Word returns what this host knows of a limit where the configuration doesn't say, Hear
 	// takes in what another one knows.
-	Word(name string) quota.Word
-	Hear(name string, w quota.Word)
+	Word(name string) quota.ObservedLimit
+	Hear(name string, w quota.ObservedLimit)
 }
 
 // Controller runs on every host. It is safe for concurrent use.
--- a/controller/quota/served_test.go
+++ b/controller/quota/served_test.go
@@ -99,7 +99,7 @@
 		c.Return(small.Name)
 		before := c.count.owned.Value()
 		for range 2 {
-			assert.Equal(t, c.Take(t.Context(), quota.Request{Name: small.Name, Left: -1}).Outcome, outcome.Outcome(0))
+			assert.Equal(t, c.Take(t.Context(), quota.Request{Name: small.Name, Remaining: -1}).Outcome, outcome.Outcome(0))
 		}
 		assert.Equal(t, c.count.owned.Value(), before)
 		c.Return(small.Name)
--- a/controller/quota/tenants.go
+++ b/controller/quota/tenants.go
@@ -22,7 +22,7 @@
 }
 
 // Word implements Limits. The configuration alone says what a tenant's quota is.
-func (Tenants) Word(string) quota.Word { return quota.Word{} }
+func (Tenants) Word(string) quota.ObservedLimit { return quota.ObservedLimit{} }
 
 // Hear implements Limits.
-func (Tenants) Hear(string, quota.Word) {}
+func (Tenants) Hear(string, quota.ObservedLimit) {}
--- a/controller/watch/beats.go
+++ b/controller/watch/beats.go
@@ -12,7 +12,7 @@
 	if w.lastOK[0].Load() == 0 && w.lastOK[1].Load() == 0 {
 		return // a try to take over; there is nothing to say yet
 	}
-	if now.Sub(w.beatAt) >= watchers.BeatEvery-time.Millisecond {
+	if now.Sub(w.beatAt) >= watchers.HeartbeatInterval-time.Millisecond {
 		c.beatNow(now)
 	}
 }
--- a/controller/watch/bootstrap.go
+++ b/controller/watch/bootstrap.go
@@ -61,7 +61,7 @@
 		c.readHosts(ctx)
 	}
 	c.mu.Lock()
-	c.decider.Defer(time.Now().Add(seedLead))
+	c.decider.DeferUntil(time.Now().Add(seedLead))
 	c.mu.Unlock()
 }
 
--- a/controller/watch/confirm.go
+++ b/controller/watch/confirm.go
@@ -84,7 +84,7 @@
 	now := time.Now()
 	c.mu.Lock()
 	reply := c.howNew(now)
-	ids := watchers.Fresh(now, c.beats)
+	ids := watchers.FreshWatchers(now, c.beats)
 	c.mu.Unlock()
 	if c.confirmed(now, reply) {
 		return
@@ -123,7 +123,7 @@
 		return false
 	}
 	c.confirm(at.Add(-r.Age))
-	return instant.Elapsed(at.Add(-r.Age), time.Now()) <= denial.Young
+	return instant.Elapsed(at.Add(-r.Age), time.Now()) <= denial.FreshAge
 }
 
 // onConfirm tells another host how new this one's configuration is.
--- a/controller/watch/denial_test.go
+++ b/controller/watch/denial_test.go
@@ -171,7 +171,7 @@
 		c := fl.idle().c
 		now := time.Now()
 		assert.Check(t, !c.confirmed(now, confirmReply{Version: 1, Known: true, Age: denial.MaxAge - time.Millisecond}))
-		assert.Check(t, !c.confirmed(now.Add(-100*time.Millisecond), confirmReply{Version: 1, Known: true, Age: denial.Young - 50*time.Millisecond}))
+		assert.Check(t, !c.confirmed(now.Add(-100*time.Millisecond), confirmReply{Version: 1, Known: true, Age: denial.FreshAge - 50*time.Millisecond}))
 		assert.Check(t, c.confirmed(now, confirmReply{Version: 1, Known: true, Age: time.Second}))
 	})
 }
--- a/controller/watch/evacuation.go
+++ b/controller/watch/evacuation.go
@@ -53,7 +53,7 @@
 // heard: an operator who wonders why a zone gets nothing finds how old the word is. The lock
 // is held.
 func (c *Controller) keepEvacuations(now time.Time) {
-	if c.watch != nil && c.watch.storeOK() || len(watchers.Fresh(now, c.beats)) > 0 {
+	if c.watch != nil && c.watch.storeOK() || len(watchers.FreshWatchers(now, c.beats)) > 0 {
 		c.wordAt = now
 		return
 	}
--- a/controller/watch/hosts.go
+++ b/controller/watch/hosts.go
@@ -96,11 +96,11 @@
 func (c *Controller) leaveOutIfDue(now time.Time) {
 	w := c.watch
 	// The reach says something of hosts that were sent to all the time.
-	if c.deps.Reach == nil || now.Sub(w.started) < watchers.LeftOutAfter || now.Sub(w.sweptAt) < sweepEvery {
+	if c.deps.Reach == nil || now.Sub(w.started) < watchers.RemoveAfter || now.Sub(w.sweptAt) < sweepEvery {
 		return
 	}
 	w.sweptAt = now
-	for _, id := range watchers.LeftOut(c.self, c.hostIDs(), c.deps.Reach.UnreachableFor) {
+	for _, id := range watchers.HostsToRemove(c.self, c.hostIDs(), c.deps.Reach.UnreachableFor) {
 		c.leaveOut(now, c.hosts[id], c.self)
 	}
 	for id, g := range c.gone {
@@ -267,7 +267,7 @@
 	if digest == c.announced || now.Before(c.announceAt) || !c.watch.storeOK() {
 		return
 	}
-	if !watchers.First(c.self, watchers.Fresh(now, c.beats)) {
+	if !watchers.IsFirst(c.self, watchers.FreshWatchers(now, c.beats)) {
 		return
 	}
 	c.announceAt = now.Add(announceEvery)
--- a/controller/watch/hosts_test.go
+++ b/controller/watch/hosts_test.go
@@ -25,11 +25,11 @@
 		for i := range 3 {
 			fl.start(14+i, true)
 		}
-		time.Sleep(watchers.LeftOutAfter / 2)
+		time.Sleep(watchers.RemoveAfter / 2)
 		for _, h := range fl.hosts {
 			assert.Check(t, h.knows(went[0].addr), "%s took a host that may be starting again off its list", h.addr)
 		}
-		time.Sleep(watchers.LeftOutAfter)
+		time.Sleep(watchers.RemoveAfter)
 		for _, h := range fl.hosts {
 			assert.Equal(t, len(h.board.Members.Load().Members), 14, "%s", h.addr)
 		}
@@ -44,7 +44,7 @@
 		stopped.stop()
 		fl.hosts = append(fl.hosts[:4:4], fl.hosts[5:]...)
 		fl.freeze(cut)
-		time.Sleep(2 * watchers.LeftOutAfter)
+		time.Sleep(2 * watchers.RemoveAfter)
 		for _, h := range fl.hosts {
 			assert.Equal(t, h.knows(cut.addr), h == cut, "%s", h.addr)
 		}
@@ -72,13 +72,13 @@
 				fl.net.Cut(ports.HostID(b.addr), ports.HostID(a.addr))
 			}
 		}
-		time.Sleep(3 * watchers.LeftOutAfter)
+		time.Sleep(3 * watchers.RemoveAfter)
 		assert.Equal(t, len(few[0].board.Members.Load().Members), 14)
 		fl.net.Heal()
 		time.Sleep(5 * time.Second)
 		for _, h := range fl.hosts {
 			assert.Equal(t, len(h.board.Members.Load().Members), 14, "%s", h.addr)
 		}
-		assert.Equal(t, len(fl.watching()), watchers.Wanted)
+		assert.Equal(t, len(fl.watching()), watchers.WantedWatchers)
 	})
 }
--- a/controller/watch/outage_test.go
+++ b/controller/watch/outage_test.go
@@ -34,7 +34,7 @@
 				took := fl.await(nil, func(h *host) bool { return !h.takes(3) })
 				assert.Check(t, took < time.Second, "known %s after the return", took)
 				time.Sleep(3 * time.Second)
-				assert.Equal(t, len(fl.watching()), watchers.Wanted)
+				assert.Equal(t, len(fl.watching()), watchers.WantedWatchers)
 			})
 		}
 	}
--- a/controller/watch/pass.go
+++ b/controller/watch/pass.go
@@ -57,7 +57,7 @@
 		}
 	}
 	for _, ids := range zones {
-		c.tellOne(watchers.Relays(c.rng, ids), relayed{Step: body, Zone: true})
+		c.tellOne(watchers.RelayOrder(c.rng, ids), relayed{Step: body, Zone: true})
 	}
 	c.spread(body, c.neighbours())
 }
@@ -76,7 +76,7 @@
 // spread sends a step to some hosts, through some of them if it is large. The lock is held.
 func (c *Controller) spread(body []byte, ids []ports.HostID) {
 	c.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	groups := watchers.Spread(ids, len(body))
+	groups := watchers.RelayGroups(ids, len(body))
 	if groups == nil {
 		for _, id := range ids {
 			c.tell(id, kindChanges, body)
@@ -130,7 +130,7 @@
 	if r.Zone {
 		ids = c.neighbours()
 	}
-	if news.Empty() && watchers.Spread(ids, len(r.Step)) != nil {
+	if news.Empty() && watchers.RelayGroups(ids, len(r.Step)) != nil {
 		c.count.repeats.Add(1)
 		return struct{}{}, nil
 	}
--- a/controller/watch/peers.go
+++ b/controller/watch/peers.go
@@ -31,7 +31,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	was, had := c.beats[from]
-	c.beats[from] = watchers.Beat{Heard: now, StoreOK: b.StoreOK, StoreAge: b.StoreAge, StoreWait: b.StoreWait}
+	c.beats[from] = watchers.Heartbeat{ReceivedAt: now, StoreOK: b.StoreOK, StoreAge: b.StoreAge, StoreWait: b.StoreWait}
 	c.heard(b.Host)
 	c.hear(b.Version)
 	if b.StoreOK {
@@ -176,7 +176,7 @@
 	defer c.mu.Unlock()
 	c.heard(req.Host)
 	c.hear(req.Version)
-	fresh := len(watchers.Fresh(now, c.beats)) > 0 || c.watch != nil && c.watch.storeOK()
+	fresh := len(watchers.FreshWatchers(now, c.beats)) > 0 || c.watch != nil && c.watch.storeOK()
 	if !fresh || !c.state.HasTargets() || c.state.Config() == nil {
 		// At a start of all hosts the seeds are asked by all of them every 20 ms.
 		return syncReply{Changes: c.whole(now, req)}, nil
--- a/controller/watch/store.go
+++ b/controller/watch/store.go
@@ -179,7 +179,7 @@
 func (c *Controller) rank() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return watchers.Rank(c.self, watchers.Fresh(time.Now(), c.beats))
+	return watchers.Rank(c.self, watchers.FreshWatchers(time.Now(), c.beats))
 }
 
 // ask makes one call: a reading of the whole topic, or a watch from where the
@@ -189,9 +189,9 @@
 	if after == 0 {
 		return c.deps.Source.Read(ctx, t, allowance)
 	}
-	wait := watchers.Wait
+	wait := watchers.WatchTimeout
 	if c.rank() > 0 {
-		wait = watchers.SecondWait
+		wait = watchers.SecondaryWatchTimeout
 	}
 	if left, again := c.readAgain(w, t); again {
 		if left <= 0 {
@@ -239,7 +239,7 @@
 	if w.lastOK[t].Load() == 0 {
 		now := time.Now()
 		c.tellRefused(now)
-		c.decider.Failed(now, c.view())
+		c.decider.RecordFailure(now, c.view())
 		c.endWatching("store fails this host")
 		c.wakeUp()
 		return
@@ -338,7 +338,7 @@
 	c.storeLost = false
 	hold := c.outageHold(now)
 	for _, b := range c.beats {
-		if !b.StoreOK && now.Sub(b.Heard) < suspectFor {
+		if !b.StoreOK && now.Sub(b.ReceivedAt) < suspectFor {
 			hold = max(hold, suspectHold)
 		}
 	}
--- a/controller/watch/watch.go
+++ b/controller/watch/watch.go
@@ -73,7 +73,7 @@
 	// hostsComplete is set once the list of hosts was that of a watcher.
 	hostsComplete bool
 
-	beats   map[ports.HostID]watchers.Beat
+	beats   map[ports.HostID]watchers.Heartbeat
 	decider *watchers.Decider
 	// refused is when others last told that the store did not serve their try to watch.
 	refused map[ports.HostID]time.Time
@@ -122,7 +122,7 @@
 		state:   directory.NewState(),
 		hosts:   map[ports.HostID]directory.Host{d.Self.ID(): d.Self},
 		gone:    make(map[ports.HostID]departed),
-		beats:   make(map[ports.HostID]watchers.Beat),
+		beats:   make(map[ports.HostID]watchers.Heartbeat),
 		decider: watchers.NewDecider(d.Self.ID()),
 		refused: make(map[ports.HostID]time.Time),
 		serving: make(chan struct{}),
@@ -196,7 +196,7 @@
 	switch {
 	case wanted && c.watch == nil:
 		c.startWatching(ctx)
-		next = now.Add(watchers.BeatEvery)
+		next = now.Add(watchers.HeartbeatInterval)
 	case !wanted && c.watch != nil:
 		c.endWatching("others watch")
 	}
@@ -224,11 +224,11 @@
 func (c *Controller) Watched() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(watchers.Fresh(time.Now(), c.beats)) > 0 || c.watch != nil && c.watch.storeOK()
+	return len(watchers.FreshWatchers(time.Now(), c.beats)) > 0 || c.watch != nil && c.watch.storeOK()
 }
 
 func (c *Controller) view() watchers.View {
-	v := watchers.View{Beats: c.beats, Watching: c.watch != nil, Refused: c.refused}
+	v := watchers.View{Heartbeats: c.beats, Watching: c.watch != nil, FailedTakeovers: c.refused}
 	for id := range c.hosts {
 		v.Hosts = append(v.Hosts, id)
 	}
--- a/controller/watch/watch_test.go
+++ b/controller/watch/watch_test.go
@@ -22,7 +22,7 @@
 
 func TestTwoHostsWatchForAll(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
-		assert.Equal(t, len(fl.watching()), watchers.Wanted)
+		assert.Equal(t, len(fl.watching()), watchers.WantedWatchers)
 		before := fl.record.Calls()
 		time.Sleep(time.Minute)
 		assert.Check(t, fl.record.Calls()-before < 200, "%d calls in a calm minute", fl.record.Calls()-before)
@@ -77,7 +77,7 @@
 			fl.start(i, true)
 		}
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, len(fl.watching()), watchers.Wanted)
+		assert.Equal(t, len(fl.watching()), watchers.WantedWatchers)
 		sent := fl.messages.Load() - before
 		assert.Check(t, sent < 100*n, "%d messages", sent)
 	})
--- a/dispatch/call.go
+++ b/dispatch/call.go
@@ -64,7 +64,7 @@
 	// Regions are the only ones whose targets may get the call; all if empty.
 	Regions []string
 	// Sizes, if set, learns how large the answers to such calls are.
-	Sizes *sizes.Usual
+	Sizes *sizes.Estimator
 	// Suspicion identifies the request for quarantine; 0 if not computed.
 	Suspicion uint64
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -183,7 +183,7 @@
 // another attempt.
 func (d *Dispatcher) accept(ctx context.Context, c *Call, h *history, a *attempt) *Reply {
 	if a.good() && c.Sizes != nil {
-		c.Sizes.Learn(a.resp.ContentLength)
+		c.Sizes.Observe(a.resp.ContentLength)
 	}
 	if a.good() || a.answered() && !a.keepable() {
 		return h.reply(a.stream())
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -31,9 +31,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if objective == 0 {
-		return retry.HedgeDelay(l.tracker.High(), l.tracker.Median(), left)
+		return retry.HedgeDelay(l.tracker.P95(), l.tracker.Median(), left)
 	}
-	return retry.SecondSend(l.tracker.Median(), l.tracker.High(), objective, left)
+	return retry.ObjectiveHedgeDelay(l.tracker.Median(), l.tracker.P95(), objective, left)
 }
 
 func (d *Dispatcher) latency(key blackboard.ServiceKey) *serviceLatency {
--- a/dispatch/workspace.go
+++ b/dispatch/workspace.go
@@ -31,8 +31,8 @@
 	defer w.mu.Unlock()
 	w.retries.SetRatio(decl.RetryRatio)
 	w.hedges.SetRatio(decl.HedgeRatio)
-	w.retries.Call()
-	w.hedges.Call()
+	w.retries.RecordCall()
+	w.hedges.RecordCall()
 }
 
 // takeRetry pays for one further attempt.
--- a/edge/retries.go
+++ b/edge/retries.go
@@ -35,7 +35,7 @@
 func (r *retries) Call(key blackboard.ServiceKey, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.window(key).Call(now)
+	r.window(key).RecordCall(now)
 }
 
 // Take implements dispatch.RetryBudget.
@@ -57,7 +57,7 @@
 	defer r.mu.Unlock()
 	w := r.window(key)
 	w.SetReserve(r.reserve(now))
-	return w.TakePart(now, secondsPart)
+	return w.TakeWithin(now, secondsPart)
 }
 
 // firstReserve is the share of its part of the reserve that a host begins with.
--- a/entry/call.go
+++ b/entry/call.go
@@ -98,7 +98,7 @@
 		return outcome.Result{}
 	}
 	left := time.Duration(intHeader(r, s.deps.Contract.Timeout, -1)) * time.Millisecond
-	return s.deps.Quota.Take(ctx, quota.Request{Name: m.Tenant, Route: m.Route, Objective: m.Objective, Left: left})
+	return s.deps.Quota.Take(ctx, quota.Request{Name: m.Tenant, Route: m.Route, Objective: m.Objective, Remaining: left})
 }
 
 // giveBack returns to a tenant's quota what a request took that did not run.
--- a/entry/request.go
+++ b/entry/request.go
@@ -97,7 +97,7 @@
 	if ms < 0 || m.Patience == nil {
 		return 0
 	}
-	return m.Patience.Waited(time.Duration(ms) * time.Millisecond)
+	return m.Patience.Estimate(time.Duration(ms) * time.Millisecond)
 }
 
 func intHeader(r *http.Request, name string, otherwise int) int {
--- a/entry/router.go
+++ b/entry/router.go
@@ -12,7 +12,7 @@
 	"github.com/cactusproxy/cactusproxy/declare"
 	"github.com/cactusproxy/cactusproxy/dispatch"
 	"github.com/cactusproxy/cactusproxy/policy/sizes"
-	"github.com/cactusproxy/cactusproxy/policy/waited"
+	"github.com/cactusproxy/cactusproxy/policy/waittime"
 )
 
 // router finds the workspace and service of a request. It is built once for
@@ -51,9 +51,9 @@
 	// Regions are the only ones whose targets may get the request; all if empty.
 	Regions []string
 	// Patience, if set, tells how long callers of the route have been waiting.
-	Patience *waited.Patience
+	Patience *waittime.Estimator
 	// Sizes, if set, learns how large answers of the route are.
-	Sizes *sizes.Usual
+	Sizes *sizes.Estimator
 	// ConfigVersion is the version of the configuration that was asked.
 	ConfigVersion uint64
 }
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -13,7 +13,7 @@
 	"github.com/cactusproxy/cactusproxy/policy/denial"
 	"github.com/cactusproxy/cactusproxy/policy/instant"
 	"github.com/cactusproxy/cactusproxy/policy/sizes"
-	"github.com/cactusproxy/cactusproxy/policy/waited"
+	"github.com/cactusproxy/cactusproxy/policy/waittime"
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
@@ -37,8 +37,8 @@
 
 // learned is what the requests of one route have shown.
 type learned struct {
-	patience waited.Patience
-	sizes    sizes.Usual
+	patience waittime.Estimator
+	sizes    sizes.Estimator
 }
 
 var _ Finder = (*RouteFinder)(nil)
@@ -167,7 +167,7 @@
 // it had to. A version that is older than one that was heard of needs no asking.
 func (f *RouteFinder) confirm(ctx context.Context, version uint64) bool {
 	k := f.knowledge(version)
-	if k.Allowed() || k.Behind() {
+	if k.MayDeny() || k.Behind() {
 		return false
 	}
 	f.confirmer.Confirm(ctx)
@@ -180,7 +180,7 @@
 func (f *RouteFinder) judge(version uint64, reason outcome.Reason) outcome.Result {
 	k := f.knowledge(version)
 	r := outcome.Refuse(reason)
-	if !k.Allowed() {
+	if !k.MayDeny() {
 		r = outcome.Refuse(outcome.ReasonConfigUnconfirmed)
 	}
 	r.Why = k.String()
@@ -188,9 +188,9 @@
 }
 
 // knowledge returns how much is known of whether a version is the newest.
-func (f *RouteFinder) knowledge(version uint64) denial.Knowledge {
+func (f *RouteFinder) knowledge(version uint64) denial.ConfigState {
 	c := f.board.Confirmation.Load()
-	k := denial.Knowledge{Version: version, Newest: max(version, c.Newest), Age: denial.Never}
+	k := denial.ConfigState{Version: version, Newest: max(version, c.Newest), Age: denial.Never}
 	if !c.At.IsZero() {
 		k.Age = max(0, instant.Elapsed(c.At, time.Now()))
 	}
--- a/internal/bench/capacity/grants.go
+++ b/internal/bench/capacity/grants.go
@@ -53,15 +53,15 @@
 type entryHost struct {
 	coordinator *grant.Coordinator
 	seq         uint64
-	next        grant.CallID
-	open        []grant.CallID
+	next        grant.AttemptID
+	open        []grant.AttemptID
 }
 
 func (h *entryHost) frame(f grant.Frame, now time.Time) {
 	h.seq++
 	f.Epoch, f.Seq, f.Full = 1, h.seq, h.seq == 1
 	h.coordinator.Receive(now, "h1", f)
-	h.coordinator.Flush(now, func(_ ports.HostID, t grant.Tell) {
+	h.coordinator.Flush(now, func(_ ports.HostID, t grant.Reply) {
 		for _, g := range t.Grants {
 			h.open = append(h.open, g.ID)
 		}
@@ -70,7 +70,7 @@
 
 func (h *entryHost) ask(now time.Time) {
 	h.next++
-	h.frame(grant.Frame{Asks: []grant.Ask{{ID: h.next}}}, now)
+	h.frame(grant.Frame{Requests: []grant.Request{{ID: h.next}}}, now)
 }
 
 func (h *entryHost) endOldest(now time.Time) {
@@ -79,5 +79,5 @@
 	}
 	id := h.open[0]
 	h.open = h.open[1:]
-	h.frame(grant.Frame{Ends: []grant.End{{ID: id, Class: pick.OK, Latency: 5 * time.Millisecond, Load: -1}}}, now)
+	h.frame(grant.Frame{Completions: []grant.Completion{{ID: id, Class: pick.OK, Latency: 5 * time.Millisecond, Load: -1}}}, now)
 }
--- a/internal/bench/choose/coordinated.go
+++ b/internal/bench/choose/coordinated.go
@@ -36,7 +36,7 @@
 	id          ports.HostID
 	session     *session.Session
 	coordinator *grant.Coordinator
-	calls       map[grant.CallID]*simCall
+	calls       map[grant.AttemptID]*simCall
 	armed       time.Duration // when the next tick comes; 0 means none
 	service     *declare.Service
 	// cut hosts neither send nor receive messages of other hosts.
@@ -58,7 +58,7 @@
 			way:   w,
 			index: i,
 			id:    ports.HostID(fmt.Sprintf("h%02d", i)),
-			calls: make(map[grant.CallID]*simCall),
+			calls: make(map[grant.AttemptID]*simCall),
 		}
 		h.session = session.New(benchService, 1, rand.New(rand.NewPCG(wd.seed, uint64(100+i))))
 		h.coordinator = grant.NewCoordinator(benchService, rand.New(rand.NewPCG(wd.seed, uint64(200+i))))
@@ -105,7 +105,7 @@
 	h.do(func(now time.Time) {
 		id := h.session.NextID()
 		h.calls[id] = c
-		h.session.Ask(now, pick.Request{Service: benchService, Avoid: avoid}, epoch.Add(c.deadline))
+		h.session.Request(now, pick.Request{Service: benchService, Avoid: avoid}, epoch.Add(c.deadline))
 	})
 }
 
@@ -114,7 +114,7 @@
 	now := h.way.world.clock()
 	event(now)
 	for {
-		out := h.session.Take()
+		out := h.session.TakeOutput()
 		for _, d := range out.Decisions {
 			h.decided(d)
 		}
@@ -137,16 +137,16 @@
 // this host itself.
 func (h *simHost) flush(now time.Time) bool {
 	own := false
-	h.coordinator.Flush(now, func(to ports.HostID, t grant.Tell) {
+	h.coordinator.Flush(now, func(to ports.HostID, t grant.Reply) {
 		t.Grants = append([]grant.Grant(nil), t.Grants...)
 		t.Refusals = append([]grant.Refusal(nil), t.Refusals...)
 		if to == h.id {
 			own = true
-			h.session.Told(now, h.id, t)
+			h.session.HandleReply(now, h.id, t)
 			return
 		}
 		dst := h.way.hosts[h.way.ids[to]]
-		h.deliver(dst, func(now time.Time) { dst.session.Told(now, h.id, t) })
+		h.deliver(dst, func(now time.Time) { dst.session.HandleReply(now, h.id, t) })
 	})
 	return own
 }
@@ -159,7 +159,7 @@
 func (h *simHost) tellOverdue(ids []ports.HostID) {
 	for _, dst := range h.way.hosts {
 		if dst != h {
-			h.deliver(dst, func(now time.Time) { dst.session.Overdue(now, ids) })
+			h.deliver(dst, func(now time.Time) { dst.session.MarkOverdue(now, ids) })
 		}
 	}
 }
@@ -236,7 +236,7 @@
 // answered ends an attempt. A target that sheds or is leaving refused before
 // running the call, so that it goes to another; every other answer is the
 // caller's.
-func (h *simHost) answered(c *simCall, t *simTarget, id grant.CallID, began time.Duration, class pick.Class, load int) {
+func (h *simHost) answered(c *simCall, t *simTarget, id grant.AttemptID, began time.Duration, class pick.Class, load int) {
 	w := h.way.world
 	r := pick.Report{Class: class, Latency: w.now - began, Load: load, LeavingHint: class == pick.Leaving}
 	h.do(func(now time.Time) { h.session.End(now, id, r) })
--- a/placer/candidates.go
+++ b/placer/candidates.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/cactusproxy/cactusproxy/pick"
-	"github.com/cactusproxy/cactusproxy/policy/placing"
+	"github.com/cactusproxy/cactusproxy/policy/placement"
 )
 
 // ranked is a target with what it costs by what is remembered.
@@ -25,7 +25,7 @@
 // The cheapest few are kept on the way through the list: sorting it takes three times as
 // long (BenchmarkPickOf100Targets).
 type candidates struct {
-	list      [2 * placing.ProbeWidth]ranked
+	list      [2 * placement.MaxProbes]ranked
 	near, far int
 	// coldSpent is how many targets were left out since they are cold and this host's part
 	// of their calls is used up.
@@ -38,8 +38,8 @@
 
 // add takes in a target if it is one of the cheapest of its kind.
 func (c *candidates) add(r ranked, width int) {
-	if r.figures.Far {
-		c.far = insert(c.list[placing.ProbeWidth:placing.ProbeWidth+width], c.far, r)
+	if r.figures.OtherZone {
+		c.far = insert(c.list[placement.MaxProbes:placement.MaxProbes+width], c.far, r)
 		return
 	}
 	c.near = insert(c.list[:width], c.near, r)
@@ -47,7 +47,7 @@
 
 // join puts the targets of other zones right behind those of the own one.
 func (c *candidates) join() {
-	copy(c.list[c.near:], c.list[placing.ProbeWidth:placing.ProbeWidth+c.far])
+	copy(c.list[c.near:], c.list[placement.MaxProbes:placement.MaxProbes+c.far])
 }
 
 // insert puts a target in its place among the n cheapest, of which as many are kept as
@@ -74,7 +74,7 @@
 // candidates returns the targets that may take a call. Blind is set while the host may not
 // probe. The lock is held.
 func (s *service) candidates(now time.Time, req pick.Request, width int, blind bool) (c candidates) {
-	way := placing.Way(req.Bytes)
+	way := placement.TransferCost(req.Bytes)
 	for _, t := range s.list {
 		if !t.open(now) || slices.Contains(req.Avoid, t.info.ID) || !s.regions.Allow(t.info.Zone, req.Regions) {
 			continue
@@ -83,12 +83,12 @@
 			continue
 		}
 		// One of which it is not certain is probed, if that may be: it may say that it is warm.
-		if (blind || t.cold.Certain() && t.cold.Cold(now)) && s.spent(now, t) {
+		if (blind || t.cold.Confirmed() && t.cold.Cold(now)) && s.spent(now, t) {
 			c.coldSpent++
 			continue
 		}
 		t.figures.Cold = t.cold.Cold(now)
-		t.figures.Usual = *s.usual(t)
+		t.figures.Baseline = *s.usual(t)
 		c.add(ranked{t, t.figures.Cost(now, way) + s.rng.Float64()*tieBreak}, width)
 	}
 	c.join()
--- a/placer/cold.go
+++ b/placer/cold.go
@@ -42,10 +42,10 @@
 // changed.
 func (t *target) presumeCold(now time.Time, was, is blackboard.Target, l coldLimits) {
 	if !is.WarmUntil.Equal(was.WarmUntil) {
-		t.cold.Presume(now, is.WarmUntil, coldstart.Record)
+		t.cold.Infer(now, is.WarmUntil, coldstart.Record)
 	}
 	if !is.ReturnedAt.IsZero() && !is.ReturnedAt.Equal(was.ReturnedAt) {
-		t.cold.Presume(now, is.ReturnedAt.Add(l.warmUp), coldstart.Return)
+		t.cold.Infer(now, is.ReturnedAt.Add(l.warmUp), coldstart.ZoneReturn)
 	}
 }
 
@@ -56,7 +56,7 @@
 		return false // the service's targets do not tell
 	}
 	was := t.cold.Cold(now)
-	t.cold.Hear(now, left)
+	t.cold.Observe(now, left)
 	return left > 0 && !was
 }
 
@@ -87,5 +87,5 @@
 // Cold targets are idle, and so look best to every host at the same moment. The parts of all hosts
 // add up to what a target bears.
 func (s *service) spent(now time.Time, t *target) bool {
-	return s.limited(now, t) && !s.quotaOf(t).Has(now)
+	return s.limited(now, t) && !s.quotaOf(t).Available(now)
 }
--- a/placer/cold_test.go
+++ b/placer/cold_test.go
@@ -302,7 +302,7 @@
 	news := s.answered(tg, answer{reached: true, said: targetapi.Signals{HasLoad: true, Load: targetapi.Load{Slots: 2, Pace: 1}, WarmUp: time.Second}}, time.Millisecond)
 	assert.Equal(t, news, newsCold)
 	assert.Equal(t, tg.rests, 0)
-	assert.Check(t, tg.cold.Cold(time.Now()) && tg.cold.Certain())
+	assert.Check(t, tg.cold.Cold(time.Now()) && tg.cold.Confirmed())
 }
 
 // An operator reads in the line of a call why its cold target got it: by its own word, or since
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -18,7 +18,7 @@
 	"github.com/cactusproxy/cactusproxy/metrics"
 	"github.com/cactusproxy/cactusproxy/outcome"
 	"github.com/cactusproxy/cactusproxy/pick"
-	"github.com/cactusproxy/cactusproxy/policy/placing"
+	"github.com/cactusproxy/cactusproxy/policy/placement"
 	"github.com/cactusproxy/cactusproxy/ports"
 	"github.com/cactusproxy/cactusproxy/targetapi"
 	"github.com/cactusproxy/cactusproxy/upstream"
@@ -81,10 +81,10 @@
 			board:   p.deps.Board,
 			regions: p.deps.Regions,
 			rng:     rand.New(rand.NewPCG(p.rng.Uint64(), 6)),
-			near:    placing.NewUsual(),
-			far:     placing.NewUsual(),
+			near:    placement.NewBaseline(),
+			far:     placement.NewBaseline(),
 			targets: make(map[ports.HostID]*target),
-			subset:  placing.Subset{Seed: p.rng.Uint64()},
+			subset:  placement.Subset{Seed: p.rng.Uint64()},
 		}
 		p.services[key] = s
 	}
@@ -102,13 +102,13 @@
 			return nil, p.refuse(s.whyNone(c), s.describe())
 		}
 		p.probe(ctx, s, probed)
-		g, last := p.choose(ctx, s, req, probed, placing.MayProbeFar)
+		g, last := p.choose(ctx, s, req, probed, placement.ProbeOtherZones)
 		if g == nil && last == "" {
 			probed = c.all()
-			next := placing.MayWait
+			next := placement.WaitForBetter
 			// More of the same guesses would be no better.
 			if known := p.probe(ctx, s, probed); !req.Hedge && (!known || waits >= s.mayWait()) {
-				next = placing.Last
+				next = placement.NoFallback
 			}
 			g, last = p.choose(ctx, s, req, probed, next)
 		}
@@ -125,7 +125,7 @@
 			return nil, p.refuse(outcome.ReasonOverload, "no spare slot")
 		}
 		p.count.waits.Add(1)
-		if !ctxtime.Sleep(ctx, placing.WaitPause) {
+		if !ctxtime.Sleep(ctx, placement.WaitInterval) {
 			return nil, p.refuse(outcome.ReasonQueueTimeout, s.describe())
 		}
 	}
@@ -139,9 +139,9 @@
 		p.deps.Probes.Update()
 	}
 	left := p.deps.Probes.Left(now)
-	c := s.candidates(now, req, placing.Width(waits, left), placing.Blind(left))
+	c := s.candidates(now, req, placement.ProbeCount(waits, left), placement.ProbesExhausted(left))
 	if len(c.all()) == 0 && s.widen(now) {
-		c = s.candidates(now, req, placing.Width(waits, left), placing.Blind(left))
+		c = s.candidates(now, req, placement.ProbeCount(waits, left), placement.ProbesExhausted(left))
 	}
 	if s.evacuated > 0 {
 		p.count.evacuated.Add(1)
@@ -154,24 +154,24 @@
 
 // choose takes the best target, or returns why there is none; neither means that
 // it is better to do what may come next.
-func (p *Placer) choose(ctx context.Context, s *service, req pick.Request, list []ranked, next placing.Next) (*held, outcome.Reason) {
+func (p *Placer) choose(ctx context.Context, s *service, req pick.Request, list []ranked, next placement.Fallback) (*held, outcome.Reason) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t, cost := s.best(now, placing.Way(req.Bytes), list)
+	t, cost := s.best(now, placement.TransferCost(req.Bytes), list)
 	if t == nil {
-		return nil, overloadIf(next == placing.Last)
+		return nil, overloadIf(next == placement.NoFallback)
 	}
-	takes := t.figures.Time(now)
+	takes := t.figures.ExpectedTime(now)
 	answer := time.Duration(takes * float64(s.work))
-	worthwhile := req.Objective == 0 || placing.Worthwhile(&t.figures, now, answer, req.Arrived.Add(req.Objective).Sub(now))
+	worthwhile := req.Objective == 0 || placement.Worthwhile(&t.figures, now, answer, req.Arrived.Add(req.Objective).Sub(now))
 	if at, ok := ctx.Deadline(); ok && answer > at.Sub(now) {
 		worthwhile = false
 	}
-	switch placing.Decide(cost, worthwhile, next) {
-	case placing.Refuse:
+	switch placement.Decide(cost, worthwhile, next) {
+	case placement.Refuse:
 		return nil, outcome.ReasonOverload
-	case placing.GoOn:
+	case placement.Continue:
 		return nil, ""
 	}
 	if t.info.Evacuated {
@@ -183,7 +183,7 @@
 		p.count.coldCalls.Add(1)
 		basis.Cold = t.cold.Basis(now).String()
 	}
-	t.cold.Use()
+	t.cold.MarkUsed()
 	t.figures.InFlight++
 	return &held{placer: p, service: s, target: t, info: t.info, takes: takes, basis: basis}, ""
 }
--- a/placer/probe.go
+++ b/placer/probe.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/cactusproxy/cactusproxy/blackboard"
-	"github.com/cactusproxy/cactusproxy/policy/placing"
+	"github.com/cactusproxy/cactusproxy/policy/placement"
 	"github.com/cactusproxy/cactusproxy/targetapi"
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
@@ -49,7 +49,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.ContainsFunc(list, func(r ranked) bool { return r.figures.Age(now) < placing.ProbeWait+freshWithin })
+	return slices.ContainsFunc(list, func(r ranked) bool { return r.figures.Age(now) < placement.ProbeTimeout+freshWithin })
 }
 
 // freshWithin is what a figure may have aged while a choice waited for others.
@@ -60,7 +60,7 @@
 	if len(waits) == 0 {
 		return
 	}
-	timer := time.NewTimer(placing.ProbeWait)
+	timer := time.NewTimer(placement.ProbeTimeout)
 	defer timer.Stop()
 	for _, w := range waits {
 		select {
--- a/placer/replaced_probe_test.go
+++ b/placer/replaced_probe_test.go
@@ -31,6 +31,6 @@
 	l.p.deps.Heard = func(blackboard.ServiceKey, blackboard.Target, targetapi.Signals) { t.Error("heard") }
 	tg.probing = make(chan struct{})
 	l.p.probeTarget(l.p.service(restartKey), tg, tg.info, "/h", 1)
-	assert.Check(t, tg.figures.At.IsZero(), "no load was told")
+	assert.Check(t, tg.figures.ReportedAt.IsZero(), "no load was told")
 	assert.Check(t, !tg.open(time.Now()), "it is left alone for a while")
 }
--- a/placer/restart_test.go
+++ b/placer/restart_test.go
@@ -70,10 +70,10 @@
 	next := l.list(200, false)
 	assert.Check(t, next.open(now))
 	assert.Equal(t, next.figures.InFlight, 0)
-	assert.Check(t, next.figures.At.IsZero())
+	assert.Check(t, next.figures.ReportedAt.IsZero())
 	call.Release(pick.Report{Class: pick.BrokeOff, Work: targetapi.Load{Running: 9, Slots: 2, Pace: 7}})
 	assert.Equal(t, next.figures.InFlight, 0)
-	assert.Check(t, next.figures.At.IsZero(), "a late answer told of the former run")
+	assert.Check(t, next.figures.ReportedAt.IsZero(), "a late answer told of the former run")
 	assert.Check(t, next.open(now))
 	assert.Equal(t, l.p.count.late.Value(), int64(1))
 }
--- a/placer/service.go
+++ b/placer/service.go
@@ -10,7 +10,7 @@
 	"github.com/cactusproxy/cactusproxy/blackboard"
 	"github.com/cactusproxy/cactusproxy/outcome"
 	"github.com/cactusproxy/cactusproxy/policy/health"
-	"github.com/cactusproxy/cactusproxy/policy/placing"
+	"github.com/cactusproxy/cactusproxy/policy/placement"
 	"github.com/cactusproxy/cactusproxy/ports"
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
@@ -34,16 +34,16 @@
 	at    []int
 	// subset is the part of the service that this host chooses among, whole is set if it is
 	// all.
-	subset placing.Subset
+	subset placement.Subset
 	whole  bool
 	limits coldLimits
 	// evacuated is how many of them are in zones that are to be empty.
 	evacuated int
 	failures  health.Service
 	// near and far are what targets of the own zone and of others told of late.
-	near, far placing.Usual
+	near, far placement.Baseline
 	// nearProbes and farProbes are how long targets that tell nothing take to answer.
-	nearProbes, farProbes placing.ProbeTimes
+	nearProbes, farProbes placement.ProbeTimes
 	// silent counts answers to probes that told nothing of the load, up to silentFrom,
 	// and is 0 again once one did.
 	silent int
@@ -83,7 +83,7 @@
 	s.evacuated = 0
 	for i := range list {
 		info := &list[i]
-		if !s.subset.Has(string(info.ID), info.Zone != s.zone) {
+		if !s.subset.Contains(string(info.ID), info.Zone != s.zone) {
 			continue
 		}
 		for len(at) > 0 && before[at[0]].ID < info.ID {
@@ -115,7 +115,7 @@
 // Cold targets have owners among the hosts, which must not pass them over.
 func (s *service) fit(list []blackboard.Target) {
 	if s.whole || s.limits.bounded() {
-		s.subset.All()
+		s.subset.IncludeAll()
 		return
 	}
 	near := 0
@@ -124,7 +124,7 @@
 			near++
 		}
 	}
-	s.subset.Fit(near, len(list)-near)
+	s.subset.Resize(near, len(list)-near)
 }
 
 // widen has the host choose among all targets from now on, if it does not yet: none of those that
@@ -167,8 +167,8 @@
 func (s *service) holds(t *target) bool { return s.targets[t.info.ID] == t }
 
 // usual is what stands for a target that told nothing for a while.
-func (s *service) usual(t *target) *placing.Usual {
-	if t.figures.Far {
+func (s *service) usual(t *target) *placement.Baseline {
+	if t.figures.OtherZone {
 		return &s.far
 	}
 	return &s.near
@@ -177,8 +177,8 @@
 // told takes in what a target says of itself. The lock is held.
 func (s *service) told(now time.Time, t *target, l targetapi.Load) {
 	s.silent = 0
-	t.figures.Told(now, l)
-	s.usual(t).Learn(l, t.figures.Others, t.figures.Slots)
+	t.figures.ObserveLoad(now, l)
+	s.usual(t).Observe(l, t.figures.OtherCalls, t.figures.Slots)
 }
 
 // silentFrom is how many answers to probes that told no load it takes for a service to
@@ -194,12 +194,12 @@
 func (s *service) answeredSilently(now time.Time, t *target, took time.Duration) {
 	s.silent = min(s.silent+1, silentFrom)
 	times := &s.nearProbes
-	if t.figures.Far {
+	if t.figures.OtherZone {
 		times = &s.farProbes
 	}
-	times.Learn(took)
-	l := t.figures.Answered(now, took, times.Usual())
-	s.usual(t).Learn(l, t.figures.Others, t.figures.Slots)
+	times.Observe(took)
+	l := t.figures.ObserveProbe(now, took, times.Typical())
+	s.usual(t).Observe(l, t.figures.OtherCalls, t.figures.Slots)
 }
 
 // best returns the cheapest of some targets that can queue one more call, or nil: of
@@ -253,7 +253,7 @@
 		room = append(room, ranked{target: t})
 	}
 	cheapest := "none"
-	if t, cost := s.best(now, placing.Way(0), room); t != nil {
+	if t, cost := s.best(now, placement.TransferCost(0), room); t != nil {
 		cheapest = strconv.FormatFloat(cost, 'f', 2, 64)
 	}
 	return fmt.Sprintf("targets=%d open=%d evacuated=%d cold=%d cheapest=%s work=%s oldest_figure=%s list=%d",
@@ -278,7 +278,7 @@
 func (s *service) mayWait() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return placing.Waits(s.work)
+	return placement.MaxWaits(s.work)
 }
 
 // workWeight is the weight of one answer in the learned work time.
@@ -308,7 +308,7 @@
 			ejected++
 		}
 	}
-	if !health.Allowed(ejected, len(s.targets)) {
+	if !health.MayEject(ejected, len(s.targets)) {
 		return false
 	}
 	t.health.Eject(now, s.rng)
--- a/placer/service_test.go
+++ b/placer/service_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/cactusproxy/cactusproxy/blackboard"
-	"github.com/cactusproxy/cactusproxy/policy/placing"
+	"github.com/cactusproxy/cactusproxy/policy/placement"
 	"github.com/cactusproxy/cactusproxy/ports"
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
@@ -15,14 +15,14 @@
 // fullTarget told a moment ago that calls wait there.
 func fullTarget(id ports.HostID, now time.Time) *target {
 	t := silentTarget(id)
-	t.figures.Told(now, targetapi.Load{Running: 2, Waiting: 2, Slots: 2, Pace: 1})
+	t.figures.ObserveLoad(now, targetapi.Load{Running: 2, Waiting: 2, Slots: 2, Pace: 1})
 	return t
 }
 
 // silentTarget never told anything.
 func silentTarget(id ports.HostID) *target {
 	t := newTarget(blackboard.Target{ID: id, Slots: 2}, "")
-	t.figures.Usual = placing.NewUsual()
+	t.figures.Baseline = placement.NewBaseline()
 	return t
 }
 
--- a/placer/target.go
+++ b/placer/target.go
@@ -7,7 +7,7 @@
 	"github.com/cactusproxy/cactusproxy/pick"
 	"github.com/cactusproxy/cactusproxy/policy/coldstart"
 	"github.com/cactusproxy/cactusproxy/policy/health"
-	"github.com/cactusproxy/cactusproxy/policy/placing"
+	"github.com/cactusproxy/cactusproxy/policy/placement"
 )
 
 const (
@@ -28,11 +28,11 @@
 // target is what this host knows of one target.
 type target struct {
 	info    blackboard.Target
-	figures placing.Figures
+	figures placement.TargetState
 	health  health.State
 	// cold is what this host believes of the target's being cold, quota what it may send
 	// there meanwhile.
-	cold  coldstart.Belief
+	cold  coldstart.Estimate
 	quota quota
 	// restUntil is the end of the time in which the target gets no call.
 	restUntil time.Time
@@ -56,13 +56,13 @@
 	info.Leaving = info.Leaving || t.info.Leaving
 	t.info = info
 	t.figures.Slots = max(info.Slots, 1)
-	t.figures.Far = info.Zone != zone
+	t.figures.OtherZone = info.Zone != zone
 }
 
 // open reports whether the target takes calls.
 func (t *target) open(now time.Time) bool {
 	return !t.info.Leaving && !t.info.Evacuated && !now.Before(t.restUntil) && !t.health.Ejected(now) &&
-		(!t.health.Trial() || t.figures.InFlight == 0)
+		(!t.health.OnTrial() || t.figures.InFlight == 0)
 }
 
 // known reports whether the target told something of late and owes no answer: one
--- a/policy/coldstart/belief.go
+++ b/policy/coldstart/belief.go
@@ -10,15 +10,15 @@
 type Source uint8
 
 const (
-	// Unheard: nothing says whether the target is cold.
-	Unheard Source = iota
+	// Unknown: nothing says whether the target is cold.
+	Unknown Source = iota
 	// Record is the target's entry in the platform's record, written some seconds ago.
 	Record
-	// Return is the end of the evacuation of the target's zone: it may have turned cold
+	// ZoneReturn is the end of the evacuation of the target's zone: it may have turned cold
 	// meanwhile, unnoticed by its entry.
-	Return
-	// Answer is the target's own health answer.
-	Answer
+	ZoneReturn
+	// HealthAnswer is the target's own health answer.
+	HealthAnswer
 )
 
 // String returns the name of the source in logs.
@@ -26,9 +26,9 @@
 	switch s {
 	case Record:
 		return "record"
-	case Return:
+	case ZoneReturn:
 		return "zone-returned"
-	case Answer:
+	case HealthAnswer:
 		return "answer"
 	default:
 		return "unheard"
@@ -43,10 +43,10 @@
 	wordFor  = time.Second
 )
 
-// Belief is until when a target is taken for cold, and what that rests on. The zero value says that
+// Estimate is until when a target is taken for cold, and what that rests on. The zero value says that
 // nothing is known.
-type Belief struct {
-	Until  time.Time
+type Estimate struct {
+	ColdUntil  time.Time
 	Source Source
 	// heardAt is when the target itself last said whether it is cold, used is set once a call
 	// was sent by that word.
@@ -55,14 +55,14 @@
 }
 
 // Cold reports whether the target is taken for cold.
-func (b Belief) Cold(now time.Time) bool { return now.Before(b.Until) }
+func (b Estimate) Cold(now time.Time) bool { return now.Before(b.ColdUntil) }
 
 // Warm reports whether the target said a moment ago that it is not cold, and nothing speaks
 // against it since.
 //
 // Without it, hosts that may not probe any more for now would send a target that is back cold the
 // calls of a warm one.
-func (b Belief) Warm(now time.Time) bool {
+func (b Estimate) Warm(now time.Time) bool {
 	counts := freshFor
 	if !b.used {
 		counts = wordFor
@@ -70,29 +70,29 @@
 	return !b.Cold(now) && !b.heardAt.IsZero() && now.Sub(b.heardAt) < counts
 }
 
-// Use notes that a call is sent to a target that is taken for warm.
-func (b *Belief) Use() { b.used = true }
+// MarkUsed notes that a call is sent to a target that is taken for warm.
+func (b *Estimate) MarkUsed() { b.used = true }
 
 // Basis returns what a target that is not taken for warm is held to: Unheard if its last word that
 // it is warm is too old.
-func (b Belief) Basis(now time.Time) Source {
+func (b Estimate) Basis(now time.Time) Source {
 	if !b.Cold(now) {
-		return Unheard
+		return Unknown
 	}
 	return b.Source
 }
 
-// Certain reports whether the target itself said so: asking it again tells nothing more.
-func (b Belief) Certain() bool { return b.Source == Answer }
+// Confirmed reports whether the target itself said so: asking it again tells nothing more.
+func (b Estimate) Confirmed() bool { return b.Source == HealthAnswer }
 
-// Presume takes in a sign other than the target's own word. It never shortens what is believed.
-func (b *Belief) Presume(now, until time.Time, s Source) {
-	if now.Before(until) && until.After(b.Until) {
-		*b = Belief{Until: until, Source: s, heardAt: b.heardAt, used: b.used}
+// Infer takes in a sign other than the target's own word. It never shortens what is believed.
+func (b *Estimate) Infer(now, until time.Time, s Source) {
+	if now.Before(until) && until.After(b.ColdUntil) {
+		*b = Estimate{ColdUntil: until, Source: s, heardAt: b.heardAt, used: b.used}
 	}
 }
 
-// Hear takes in how much longer the target is cold by its own answer, 0 if it is not.
-func (b *Belief) Hear(now time.Time, left time.Duration) {
-	*b = Belief{Until: now.Add(left), Source: Answer, heardAt: now}
+// Observe takes in how much longer the target is cold by its own answer, 0 if it is not.
+func (b *Estimate) Observe(now time.Time, left time.Duration) {
+	*b = Estimate{ColdUntil: now.Add(left), Source: HealthAnswer, heardAt: now}
 }
--- a/policy/coldstart/quota.go
+++ b/policy/coldstart/quota.go
@@ -11,9 +11,9 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Owners is how many hosts share the calls that a cold target bears in a second, of so many
+// OwnerCount is how many hosts share the calls that a cold target bears in a second, of so many
 // hosts: as many as leave each of them at least one call.
-func Owners(perSecond float64, hosts int) int {
+func OwnerCount(perSecond float64, hosts int) int {
 	return min(max(int(math.Floor(perSecond)), 1), hosts)
 }
 
@@ -40,15 +40,15 @@
 	if near == 0 {
 		in, near = "", len(members)
 	}
-	owners := Owners(perSecond, near)
-	if !rendezvous.Among(self, string(target), in, owners, members) {
+	owners := OwnerCount(perSecond, near)
+	if !rendezvous.InTopN(self, string(target), in, owners, members) {
 		return Quota{}
 	}
 	return Quota{limiter: rate.NewLimiter(rate.Limit(perSecond/float64(owners)), 1)}
 }
 
-// Has reports whether the quota has room for a call now.
-func (q Quota) Has(now time.Time) bool { return q.limiter != nil && q.limiter.TokensAt(now) >= 1 }
+// Available reports whether the quota has room for a call now.
+func (q Quota) Available(now time.Time) bool { return q.limiter != nil && q.limiter.TokensAt(now) >= 1 }
 
 // Take takes a call out of the quota and reports whether it had room.
 func (q Quota) Take(now time.Time) bool { return q.limiter != nil && q.limiter.AllowN(now, 1) }
--- a/policy/coldstart/quota_test.go
+++ b/policy/coldstart/quota_test.go
@@ -144,7 +144,7 @@
 	owners := func(target ports.HostID, zone string, members []blackboard.Member) map[ports.HostID]bool {
 		set := make(map[ports.HostID]bool)
 		for _, m := range members {
-			if NewQuota(m.Host.ID, target, zone, bears, members).Has(start) {
+			if NewQuota(m.Host.ID, target, zone, bears, members).Available(start) {
 				set[m.Host.ID] = true
 			}
 		}
@@ -174,29 +174,29 @@
 		perSecond   float64
 		hosts, want int
 	}{{4.5, 103, 4}, {0.3, 103, 1}, {4.5, 2, 2}, {100, 14, 14}} {
-		assert.Equal(t, Owners(tc.perSecond, tc.hosts), tc.want)
+		assert.Equal(t, OwnerCount(tc.perSecond, tc.hosts), tc.want)
 	}
 }
 
 // A target says that it is not cold any more, and that holds against what was presumed before;
 // a later sign that it may have turned cold again counts.
 func TestTargetsOwnWordGoesBeforeWhatIsPresumed(t *testing.T) {
-	var b Belief
-	b.Presume(start, start.Add(3*time.Second), Return)
-	assert.Check(t, b.Cold(start) && !b.Certain())
-	b.Hear(start, 0)
+	var b Estimate
+	b.Infer(start, start.Add(3*time.Second), ZoneReturn)
+	assert.Check(t, b.Cold(start) && !b.Confirmed())
+	b.Observe(start, 0)
 	assert.Check(t, !b.Cold(start) && b.Warm(start))
 	assert.Check(t, b.Warm(start.Add(freshFor)))
 	assert.Check(t, !b.Warm(start.Add(wordFor)), "a word of a while ago says little")
-	b.Use()
+	b.MarkUsed()
 	assert.Check(t, !b.Warm(start.Add(freshFor)), "an older word is good for one call")
-	b.Presume(start, start.Add(-time.Second), Record)
+	b.Infer(start, start.Add(-time.Second), Record)
 	assert.Check(t, !b.Cold(start), "a time that has passed says nothing")
-	b.Presume(start, start.Add(time.Second), Record)
+	b.Infer(start, start.Add(time.Second), Record)
 	assert.Check(t, b.Cold(start))
-	b.Hear(start, 2*time.Second)
-	b.Presume(start, start.Add(time.Second), Record)
-	assert.Equal(t, b.Basis(start), Answer)
-	assert.Equal(t, b.Basis(start.Add(3*time.Second)), Unheard)
-	assert.Check(t, b.Certain() && b.Cold(start.Add(1900*time.Millisecond)), "a sign does not shorten it")
+	b.Observe(start, 2*time.Second)
+	b.Infer(start, start.Add(time.Second), Record)
+	assert.Equal(t, b.Basis(start), HealthAnswer)
+	assert.Equal(t, b.Basis(start.Add(3*time.Second)), Unknown)
+	assert.Check(t, b.Confirmed() && b.Cold(start.Add(1900*time.Millisecond)), "a sign does not shorten it")
 }
--- a/policy/grant/choose.go
+++ b/policy/grant/choose.go
@@ -110,7 +110,7 @@
 }
 
 // plain reports whether any target will do.
-func (a *Ask) plain() bool { return !a.Alone && !a.Hedge && len(a.Avoid) == 0 }
+func (a *Request) plain() bool { return !a.Exclusive && !a.Hedge && len(a.Avoid) == 0 }
 
 // settle grants or refuses an ask, or leaves it waiting and returns false.
 func (b *Coordinator) settle(now time.Time, h *host, w *waiter) bool {
@@ -126,7 +126,7 @@
 	if t == nil {
 		return false
 	}
-	b.hold(h, w.ask.ID, t, now, w.ask.Alone)
+	b.hold(h, w.ask.ID, t, now, w.ask.Exclusive)
 	t.lastGrant = now
 	h.grants = append(h.grants, Grant{ID: w.ask.ID, Target: t.id})
 	return true
@@ -151,13 +151,13 @@
 func (b *Coordinator) declineAll() {
 	for _, h := range b.hosts {
 		h.decline = h.decline || h.queue.len() > 0
-		b.queued -= h.queue.keep(func(CallID) bool { return false })
+		b.queued -= h.queue.keep(func(AttemptID) bool { return false })
 	}
 }
 
 // place returns the target for an ask, or nil if none has a slot now.
-func (b *Coordinator) place(now time.Time, h *host, a *Ask) *target {
-	if a.Alone {
+func (b *Coordinator) place(now time.Time, h *host, a *Request) *target {
+	if a.Exclusive {
 		return b.placeAlone(now, a)
 	}
 	in := b.terms(now, a)
@@ -199,7 +199,7 @@
 	overdue instant.Time // grants before it are overdue
 }
 
-func (b *Coordinator) terms(now time.Time, a *Ask) terms {
+func (b *Coordinator) terms(now time.Time, a *Request) terms {
 	in := terms{time: now, now: b.clock.At(now), limit: b.slots, cold: b.coldLimit(now)}
 	if !a.Hedge {
 		in.limit += b.over()
@@ -254,7 +254,7 @@
 	if t.health.Ejected(in.time) {
 		return 0, false
 	}
-	if t.health.Trial() && t.inFlight() > 0 {
+	if t.health.OnTrial() && t.inFlight() > 0 {
 		return 0, false
 	}
 	if !in.cold || !b.isCold(in.time, t) {
@@ -333,7 +333,7 @@
 
 // placeAlone returns an idle target. If there is none it keeps one from getting
 // more, so that busy targets can not put off the ask for ever.
-func (b *Coordinator) placeAlone(now time.Time, a *Ask) *target {
+func (b *Coordinator) placeAlone(now time.Time, a *Request) *target {
 	var least *target
 	strict := b.others(now, a.Avoid)
 	at := b.clock.At(now)
--- a/policy/grant/coordinator.go
+++ b/policy/grant/coordinator.go
@@ -18,18 +18,18 @@
 
 // Times of the protocol between a coordinator and the entry hosts.
 const (
-	// TickEvery is how often Tick should run while an ask waits.
-	TickEvery = time.Millisecond
+	// TickInterval is how often Tick should run while an ask waits.
+	TickInterval = time.Millisecond
 	// aliveEvery is how often a host with a queued ask hears that it is queued.
 	aliveEvery = 1500 * time.Microsecond
-	// HeartbeatEvery is how often a host sends a full frame while it has an ask
+	// HeartbeatInterval is how often a host sends a full frame while it has an ask
 	// or an attempt.
-	HeartbeatEvery = 50 * time.Millisecond
+	HeartbeatInterval = 50 * time.Millisecond
 	// hostTimeout is the silence after which a host's attempts lapse: its
 	// process died, it was cut off, or it has another coordinator. Until then
 	// they take slots that may be free; a host that lapses by mistake tells of
 	// its attempts anew with its next frame.
-	hostTimeout = 3 * HeartbeatEvery
+	hostTimeout = 3 * HeartbeatInterval
 	// transit is how long a grant may be on its way before a full frame that
 	// does not list it shows that it was lost.
 	transit = 20 * time.Millisecond
@@ -65,13 +65,13 @@
 // callKey names an attempt among those of all hosts.
 type callKey struct {
 	host ports.HostID
-	id   CallID
+	id   AttemptID
 }
 
 // call is an attempt that holds a slot.
 type call struct {
 	host    *host
-	id      CallID
+	id      AttemptID
 	target  *target
 	granted time.Time
 	since   instant.Time // granted
@@ -167,11 +167,11 @@
 		return // a late frame of an earlier run
 	}
 	h.heard = now
-	for i := range f.Ends {
-		b.end(now, h, f.Ends[i])
+	for i := range f.Completions {
+		b.end(now, h, f.Completions[i])
 	}
-	for i := range f.Asks {
-		b.ask(now, h, f.Asks[i])
+	for i := range f.Requests {
+		b.ask(now, h, f.Requests[i])
 	}
 	// A full frame that a later frame overtook may list attempts whose end is
 	// known already; they would come back and hold their slots until the next.
@@ -189,7 +189,7 @@
 }
 
 // ask queues an ask or refuses it at once.
-func (b *Coordinator) ask(now time.Time, h *host, a Ask) {
+func (b *Coordinator) ask(now time.Time, h *host, a Request) {
 	if h.waits(a.ID) || b.calls[callKey{h.id, a.ID}] != nil {
 		return // listed again by a full frame
 	}
@@ -211,7 +211,7 @@
 	if w.ask.Remaining <= 0 || b.capacity == 0 {
 		return "", false
 	}
-	if b.service.Needs(b.ExpectedWait()) > w.ask.Remaining {
+	if b.service.RequiredTime(b.ExpectedWait()) > w.ask.Remaining {
 		return outcome.ReasonDeadline, true
 	}
 	return "", false
@@ -227,7 +227,7 @@
 }
 
 // end gives back the slot of an attempt, or withdraws an ask.
-func (b *Coordinator) end(now time.Time, h *host, e End) {
+func (b *Coordinator) end(now time.Time, h *host, e Completion) {
 	c := b.calls[callKey{h.id, e.ID}]
 	if c == nil {
 		if h.queue.remove(e.ID) {
@@ -255,7 +255,7 @@
 }
 
 // hold enters an attempt into the state.
-func (b *Coordinator) hold(h *host, id CallID, t *target, since time.Time, alone bool) *call {
+func (b *Coordinator) hold(h *host, id AttemptID, t *target, since time.Time, alone bool) *call {
 	var c *call
 	if n := len(b.spare); n > 0 {
 		c = b.spare[n-1]
@@ -275,9 +275,9 @@
 func (b *Coordinator) Next() time.Duration {
 	switch {
 	case b.queued > 0:
-		return TickEvery
+		return TickInterval
 	case len(b.hosts) > 0:
-		return HeartbeatEvery
+		return HeartbeatInterval
 	default:
 		return 0
 	}
--- a/policy/grant/coordinator_test.go
+++ b/policy/grant/coordinator_test.go
@@ -20,7 +20,7 @@
 	*Coordinator
 	now   time.Time
 	seq   map[ports.HostID]uint64
-	tells map[ports.HostID]Tell
+	tells map[ports.HostID]Reply
 }
 
 func newFixture(targets, slots int) *fixture {
@@ -28,7 +28,7 @@
 		Coordinator: NewCoordinator(blackboard.ServiceKey{Workspace: "w", Service: "s"}, rand.New(rand.NewPCG(1, 1))),
 		now:         time.Unix(1000, 0),
 		seq:         make(map[ports.HostID]uint64),
-		tells:       make(map[ports.HostID]Tell),
+		tells:       make(map[ports.HostID]Reply),
 	}
 	d.Configure(&declare.Service{Slots: slots, ColdStart: 0})
 	d.list(targets, -1)
@@ -48,7 +48,7 @@
 
 // tell delivers a frame and returns what the host hears, at once and in the
 // grants that others' frames set free later.
-func (d *fixture) tell(h ports.HostID, f Frame) Tell {
+func (d *fixture) tell(h ports.HostID, f Frame) Reply {
 	d.seq[h]++
 	f.Epoch, f.Seq = 1, d.seq[h]
 	f.Full = f.Full || f.Seq == 1
@@ -56,9 +56,9 @@
 	return d.hear(h)
 }
 
-func (d *fixture) hear(h ports.HostID) Tell {
-	d.tells = make(map[ports.HostID]Tell)
-	d.Flush(d.now, func(to ports.HostID, t Tell) {
+func (d *fixture) hear(h ports.HostID) Reply {
+	d.tells = make(map[ports.HostID]Reply)
+	d.Flush(d.now, func(to ports.HostID, t Reply) {
 		t.Grants = append([]Grant(nil), t.Grants...)
 		t.Refusals = append([]Refusal(nil), t.Refusals...)
 		d.tells[to] = t
@@ -66,17 +66,17 @@
 	return d.tells[h]
 }
 
-func (d *fixture) ask(h ports.HostID, a Ask) Tell { return d.tell(h, Frame{Asks: []Ask{a}}) }
+func (d *fixture) ask(h ports.HostID, a Request) Reply { return d.tell(h, Frame{Requests: []Request{a}}) }
 
-func (d *fixture) finish(h ports.HostID, id CallID, class pick.Class) Tell {
-	return d.tell(h, Frame{Ends: []End{{ID: id, Class: class, Latency: 5 * time.Millisecond, Load: -1}}})
+func (d *fixture) finish(h ports.HostID, id AttemptID, class pick.Class) Reply {
+	return d.tell(h, Frame{Completions: []Completion{{ID: id, Class: class, Latency: 5 * time.Millisecond, Load: -1}}})
 }
 
 // warm lets the coordinator learn a service time of 5 ms.
 func (d *fixture) warm() {
 	for i := range 2 * minSamples {
-		id := CallID(1_000_000 + i)
-		d.ask("warm", Ask{ID: id})
+		id := AttemptID(1_000_000 + i)
+		d.ask("warm", Request{ID: id})
 		d.now = d.now.Add(5 * time.Millisecond)
 		d.finish("warm", id, pick.OK)
 	}
@@ -87,18 +87,18 @@
 // As long as it runs, its target gets nothing else.
 func TestAskForATargetOfItsOwn(t *testing.T) {
 	d := newFixture(2, 2)
-	d.ask("a", Ask{ID: 1})
-	d.ask("a", Ask{ID: 2})
-	assert.Equal(t, len(d.ask("b", Ask{ID: 1, Alone: true}).Grants), 0)
-	for id := CallID(3); id < 12; id++ {
-		d.ask("a", Ask{ID: id})
+	d.ask("a", Request{ID: 1})
+	d.ask("a", Request{ID: 2})
+	assert.Equal(t, len(d.ask("b", Request{ID: 1, Exclusive: true}).Grants), 0)
+	for id := AttemptID(3); id < 12; id++ {
+		d.ask("a", Request{ID: id})
 	}
 	kept := d.reserved
 	assert.Equal(t, kept.inFlight(), 1)
 	d.finish("a", kept.calls[0].id, pick.OK)
 	assert.Equal(t, d.tells["b"].Grants[0].Target, kept.id)
-	for id := CallID(20); id < 30; id++ {
-		for _, g := range d.ask("a", Ask{ID: id}).Grants {
+	for id := AttemptID(20); id < 30; id++ {
+		for _, g := range d.ask("a", Request{ID: id}).Grants {
 			assert.Check(t, g.Target != kept.id)
 		}
 	}
@@ -107,29 +107,29 @@
 
 func TestHedgeGetsAFreeSlotOrNothing(t *testing.T) {
 	d := newFixture(2, 1)
-	first := d.ask("a", Ask{ID: 1}).Grants[0].Target
-	second := d.ask("a", Ask{ID: 2, Hedge: true, Avoid: []ports.HostID{first}}).Grants[0].Target
+	first := d.ask("a", Request{ID: 1}).Grants[0].Target
+	second := d.ask("a", Request{ID: 2, Hedge: true, Avoid: []ports.HostID{first}}).Grants[0].Target
 	assert.Check(t, second != first)
-	told := d.ask("a", Ask{ID: 3, Hedge: true})
+	told := d.ask("a", Request{ID: 3, Hedge: true})
 	assert.Equal(t, len(told.Refusals), 1)
 	assert.Equal(t, told.Refusals[0].Reason, outcome.ReasonQueueFull)
 }
 
 func TestAvoidedTargetIsTakenOnlyIfThereIsNoOther(t *testing.T) {
 	d := newFixture(2, 4)
-	for id := CallID(1); id < 4; id++ {
-		assert.Equal(t, d.ask("a", Ask{ID: id, Avoid: []ports.HostID{targetID(0)}}).Grants[0].Target, targetID(1))
+	for id := AttemptID(1); id < 4; id++ {
+		assert.Equal(t, d.ask("a", Request{ID: id, Avoid: []ports.HostID{targetID(0)}}).Grants[0].Target, targetID(1))
 	}
 	d.list(2, 1)
-	assert.Equal(t, d.ask("a", Ask{ID: 9, Avoid: []ports.HostID{targetID(0)}}).Grants[0].Target, targetID(0))
+	assert.Equal(t, d.ask("a", Request{ID: 9, Avoid: []ports.HostID{targetID(0)}}).Grants[0].Target, targetID(0))
 }
 
 func TestTargetThatSaysItLeavesGetsNothingMore(t *testing.T) {
 	d := newFixture(2, 4)
-	g := d.ask("a", Ask{ID: 1}).Grants[0]
-	d.tell("a", Frame{Ends: []End{{ID: 1, Class: pick.OK, Latency: time.Millisecond, Load: -1, Leaving: true}}})
-	for id := CallID(2); id < 6; id++ {
-		assert.Check(t, d.ask("b", Ask{ID: id}).Grants[0].Target != g.Target)
+	g := d.ask("a", Request{ID: 1}).Grants[0]
+	d.tell("a", Frame{Completions: []Completion{{ID: 1, Class: pick.OK, Latency: time.Millisecond, Load: -1, Leaving: true}}})
+	for id := AttemptID(2); id < 6; id++ {
+		assert.Check(t, d.ask("b", Request{ID: id}).Grants[0].Target != g.Target)
 	}
 }
 
@@ -139,8 +139,8 @@
 func TestEjectionHasACap(t *testing.T) {
 	d := newFixture(10, 2)
 	d.warm()
-	for id := CallID(1); id < 400; id++ {
-		for _, g := range d.ask("a", Ask{ID: id}).Grants {
+	for id := AttemptID(1); id < 400; id++ {
+		for _, g := range d.ask("a", Request{ID: id}).Grants {
 			class := pick.OK
 			if g.Target < targetID(6) {
 				class = pick.Failed
@@ -156,10 +156,10 @@
 // full frame of the host does not list the attempt, which frees it.
 func TestFullFrameFreesWhatWasLost(t *testing.T) {
 	d := newFixture(1, 4)
-	d.ask("a", Ask{ID: 1})
-	d.ask("a", Ask{ID: 2})
-	d.now = d.now.Add(HeartbeatEvery)
-	d.tell("a", Frame{Full: true, Open: []Open{{ID: 2, Target: targetID(0), Age: HeartbeatEvery}}})
+	d.ask("a", Request{ID: 1})
+	d.ask("a", Request{ID: 2})
+	d.now = d.now.Add(HeartbeatInterval)
+	d.tell("a", Frame{Full: true, InFlight: []OpenAttempt{{ID: 2, Target: targetID(0), Age: HeartbeatInterval}}})
 	assert.Equal(t, d.InFlight(), 1)
 }
 
@@ -167,8 +167,8 @@
 // lapses. A restart of the same host starts from nothing as well.
 func TestGrantsLapseWithTheirHost(t *testing.T) {
 	d := newFixture(1, 4)
-	d.ask("a", Ask{ID: 1})
-	d.ask("b", Ask{ID: 1})
+	d.ask("a", Request{ID: 1})
+	d.ask("b", Request{ID: 1})
 	d.now = d.now.Add(hostTimeout / 2)
 	d.tell("b", Frame{})
 	d.now = d.now.Add(hostTimeout/2 + time.Millisecond)
@@ -180,7 +180,7 @@
 
 func TestHostWithoutHistoryIsAskedForItsAttempts(t *testing.T) {
 	d := newFixture(1, 4)
-	d.Receive(d.now, "a", Frame{Epoch: 1, Seq: 7, Asks: []Ask{{ID: 3}}})
+	d.Receive(d.now, "a", Frame{Epoch: 1, Seq: 7, Requests: []Request{{ID: 3}}})
 	told := d.hear("a")
 	assert.Equal(t, len(told.Grants), 1)
 	assert.Check(t, told.Resync)
@@ -190,7 +190,7 @@
 // some. A refusal would be a lie; the asking host is sent back to choose alone.
 func TestCoordinatorWithoutTargetsDeclines(t *testing.T) {
 	d := newFixture(0, 1)
-	told := d.ask("a", Ask{ID: 1})
+	told := d.ask("a", Request{ID: 1})
 	assert.Check(t, told.Decline)
 	assert.Equal(t, len(told.Refusals), 0)
 }
@@ -200,10 +200,10 @@
 func TestFloodOfOneHostDelaysOnlyItself(t *testing.T) {
 	d := newFixture(2, 1)
 	d.warm()
-	for id := CallID(1); id <= 200; id++ {
-		d.ask("flood", Ask{ID: id})
+	for id := AttemptID(1); id <= 200; id++ {
+		d.ask("flood", Request{ID: id})
 	}
-	d.ask("calm", Ask{ID: 1})
+	d.ask("calm", Request{ID: 1})
 	served := 0
 	for served < 200 && len(d.tells["calm"].Grants) == 0 {
 		for _, c := range d.held(d.byHost["flood"])[:1] {
@@ -227,8 +227,8 @@
 	d.SetTargets(d.now, list)
 	got := [2]int{}
 	for i := range 2000 {
-		id := CallID(i + 1)
-		for _, g := range d.ask("a", Ask{ID: id}).Grants {
+		id := AttemptID(i + 1)
+		for _, g := range d.ask("a", Request{ID: id}).Grants {
 			if g.Target == targetID(4) {
 				got[i/1000]++
 			}
@@ -244,8 +244,8 @@
 func benchFixture() (*fixture, *host) {
 	d := newFixture(100, 2)
 	d.warm()
-	for id := CallID(1); id <= 100; id++ {
-		d.ask("warm", Ask{ID: id})
+	for id := AttemptID(1); id <= 100; id++ {
+		d.ask("warm", Request{ID: id})
 	}
 	d.hear("warm")
 	return d, d.byHost["warm"]
@@ -253,7 +253,7 @@
 
 func BenchmarkChoice(b *testing.B) {
 	d, h := benchFixture()
-	a := &Ask{ID: 5000}
+	a := &Request{ID: 5000}
 	b.ReportAllocs()
 	for b.Loop() {
 		d.place(d.now, h, a)
@@ -262,7 +262,7 @@
 
 func BenchmarkChoiceWithBooks(b *testing.B) {
 	d, h := benchFixture()
-	a := &Ask{ID: 5000}
+	a := &Request{ID: 5000}
 	b.ReportAllocs()
 	for b.Loop() {
 		t := d.place(d.now, h, a)
@@ -274,7 +274,7 @@
 	d := newFixture(100, 2)
 	d.warm()
 	h := d.byHost["warm"]
-	a := &Ask{ID: 5000}
+	a := &Request{ID: 5000}
 	assert.Equal(t, testing.AllocsPerRun(100, func() {
 		d.release(d.now, d.hold(h, a.ID, d.place(d.now, h, a), d.now, false))
 	}), 0.0)
@@ -284,12 +284,12 @@
 // it do. The calls behind it, of the same host, go on meanwhile.
 func TestWaitingSuspectHoldsUpNobody(t *testing.T) {
 	d := newFixture(2, 2)
-	d.ask("a", Ask{ID: 1})
-	d.ask("a", Ask{ID: 2})
-	assert.Equal(t, len(d.ask("a", Ask{ID: 3, Alone: true}).Grants), 0)
-	assert.Equal(t, len(d.ask("a", Ask{ID: 4}).Grants), 1)
+	d.ask("a", Request{ID: 1})
+	d.ask("a", Request{ID: 2})
+	assert.Equal(t, len(d.ask("a", Request{ID: 3, Exclusive: true}).Grants), 0)
+	assert.Equal(t, len(d.ask("a", Request{ID: 4}).Grants), 1)
 	d.finish("a", 4, pick.OK)
-	assert.Equal(t, len(d.ask("a", Ask{ID: 5}).Grants), 1)
+	assert.Equal(t, len(d.ask("a", Request{ID: 5}).Grants), 1)
 }
 
 // Two of five targets are down and refuse connections, too many for all to be
@@ -299,8 +299,8 @@
 	d := newFixture(5, 2)
 	d.warm()
 	refused := 0
-	for id := CallID(1); id <= 1000; id++ {
-		a := Ask{ID: id, Alone: id%10 == 0}
+	for id := AttemptID(1); id <= 1000; id++ {
+		a := Request{ID: id, Exclusive: id%10 == 0}
 		g := d.ask("a", a).Grants[0]
 		d.now = d.now.Add(time.Millisecond)
 		if g.Target <= targetID(1) {
@@ -319,12 +319,12 @@
 func TestOverdueAnswerIsHeldAgainstItsTarget(t *testing.T) {
 	d := newFixture(2, 2)
 	d.warm()
-	next := CallID(1000)
+	next := AttemptID(1000)
 	call := func(took time.Duration) ports.HostID {
 		next++
-		at := d.ask("h1", Ask{ID: next}).Grants[0].Target
+		at := d.ask("h1", Request{ID: next}).Grants[0].Target
 		d.now = d.now.Add(took)
-		d.tell("h1", Frame{Ends: []End{{ID: next, Class: pick.OK, Latency: took, Load: -1}}})
+		d.tell("h1", Frame{Completions: []Completion{{ID: next, Class: pick.OK, Latency: took, Load: -1}}})
 		return at
 	}
 	slow := call(time.Second)
--- a/policy/grant/host.go
+++ b/policy/grant/host.go
@@ -56,21 +56,21 @@
 	return ids
 }
 
-func (h *host) waits(id CallID) bool { return h.queue.find(id) >= 0 }
+func (h *host) waits(id AttemptID) bool { return h.queue.find(id) >= 0 }
 
-func (h *host) refuse(id CallID, r outcome.Reason) {
+func (h *host) refuse(id AttemptID, r outcome.Reason) {
 	h.refusals = append(h.refusals, Refusal{ID: id, Reason: r})
 }
 
 // Flush hands every message that is due to send and forgets it. The slices of
 // the message are only valid during the call.
-func (b *Coordinator) Flush(now time.Time, send func(to ports.HostID, t Tell)) {
+func (b *Coordinator) Flush(now time.Time, send func(to ports.HostID, t Reply)) {
 	for _, h := range b.hosts {
 		if len(h.grants) == 0 && len(h.refusals) == 0 && !h.alive && !h.resync && !h.decline {
 			continue
 		}
 		h.told = now
-		send(h.id, Tell{
+		send(h.id, Reply{
 			Service:  b.key,
 			Epoch:    h.epoch,
 			Grants:   h.grants,
@@ -88,7 +88,7 @@
 
 // waiter is an ask that waits for a slot.
 type waiter struct {
-	ask      Ask
+	ask      Request
 	since    time.Time
 	deadline time.Time // zero means none
 	tag      time.Time // the ask with the earliest is served first
@@ -119,7 +119,7 @@
 	}
 }
 
-func (q *queue) find(id CallID) int {
+func (q *queue) find(id AttemptID) int {
 	for i := q.head; i < len(q.items); i++ {
 		if q.items[i].ask.ID == id {
 			return i
@@ -128,7 +128,7 @@
 	return -1
 }
 
-func (q *queue) remove(id CallID) bool {
+func (q *queue) remove(id AttemptID) bool {
 	i := q.find(id)
 	if i < 0 {
 		return false
@@ -139,7 +139,7 @@
 
 func (q *queue) hasAlone() bool {
 	for i := q.head; i < len(q.items); i++ {
-		if q.items[i].ask.Alone {
+		if q.items[i].ask.Exclusive {
 			return true
 		}
 	}
@@ -147,7 +147,7 @@
 }
 
 // keep drops the asks that f does not name and returns how many went.
-func (q *queue) keep(f func(CallID) bool) int {
+func (q *queue) keep(f func(AttemptID) bool) int {
 	return q.keepWaiters(func(w *waiter) bool { return f(w.ask.ID) })
 }
 
--- a/policy/grant/messages.go
+++ b/policy/grant/messages.go
@@ -15,30 +15,30 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// CallID names an attempt among those of one entry host and epoch.
-type CallID uint64
+// AttemptID names an attempt among those of one entry host and epoch.
+type AttemptID uint64
 
-// Ask asks for a slot for one attempt.
-type Ask struct {
+// Request asks for a slot for one attempt.
+type Request struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
-	ID CallID
+	ID AttemptID
 	// Remaining is the time to the deadline; 0 means none.
 	Remaining time.Duration
 	Avoid     []ports.HostID
 	Hedge     bool
-	Alone     bool
+	Exclusive     bool
 }
 
-// Returned is the class of a grant that was never used: it says nothing of the
+// Unused is the class of a grant that was never used: it says nothing of the
 // target.
-const Returned pick.Class = 0
+const Unused pick.Class = 0
 
-// End gives a slot back, or withdraws an ask, and tells how the attempt went.
-type End struct {
+// Completion gives a slot back, or withdraws an ask, and tells how the attempt went.
+type Completion struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
-	ID      CallID
+	ID      AttemptID
 	Class   pick.Class
 	Latency time.Duration
 	// Load is what the target reported; negative means nothing.
@@ -46,14 +46,14 @@
 	Leaving bool
 }
 
-// Open is an attempt in flight, for a coordinator that may not know of it.
-type Open struct {
+// OpenAttempt is an attempt in flight, for a coordinator that may not know of it.
+type OpenAttempt struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
-	ID     CallID
+	ID     AttemptID
 	Target ports.HostID
 	Age    time.Duration
-	Alone  bool
+	Exclusive  bool
 }
 
 // Frame is what an entry host tells the coordinator of one service.
@@ -67,9 +67,9 @@
 	// Full frames list every ask that waits and every attempt in flight; what
 	// they do not list is gone. They repair the loss of any other frame.
 	Full bool
-	Asks []Ask
-	Ends []End
-	Open []Open
+	Requests []Request
+	Completions []Completion
+	InFlight []OpenAttempt
 	// Zone is the host's availability zone; only full frames carry it.
 	Zone string
 }
@@ -78,7 +78,7 @@
 type Grant struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
-	ID     CallID
+	ID     AttemptID
 	Target ports.HostID
 }
 
@@ -86,13 +86,13 @@
 type Refusal struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
-	ID     CallID
+	ID     AttemptID
 	Reason outcome.Reason
 }
 
-// Tell is what the coordinator of one service tells an entry host. An empty one
+// Reply is what the coordinator of one service tells an entry host. An empty one
 // says that the coordinator is there and the asks are queued.
-type Tell struct {
+type Reply struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Service blackboard.ServiceKey
--- a/policy/grant/stale.go
+++ b/policy/grant/stale.go
@@ -26,15 +26,15 @@
 	return out
 }
 
-// Probed takes the result of a probe. A good answer ends an ejection early; a
+// RecordProbe takes the result of a probe. A good answer ends an ejection early; a
 // bad one ejects nothing, since health endpoints lag and mislead.
-func (b *Coordinator) Probed(now time.Time, id ports.HostID, ok bool, load int) {
+func (b *Coordinator) RecordProbe(now time.Time, id ports.HostID, ok bool, load int) {
 	t := b.byID[id]
 	if t == nil {
 		return
 	}
 	t.lastEnd = now
-	t.health.Probed(now, ok)
+	t.health.RecordProbe(now, ok)
 	if load >= 0 {
 		t.foreign = max(load-t.inFlight(), 0)
 		t.foreignAt = b.clock.At(now)
@@ -42,8 +42,8 @@
 	b.dispatch(now)
 }
 
-// Ejected returns the targets that were ejected since the last call.
-func (b *Coordinator) Ejected() []ports.HostID {
+// TakeEjected returns the targets that were ejected since the last call.
+func (b *Coordinator) TakeEjected() []ports.HostID {
 	out := b.newlyOut
 	b.newlyOut = nil
 	return out
--- a/policy/grant/target.go
+++ b/policy/grant/target.go
@@ -80,7 +80,7 @@
 const foreignFor = 20 * time.Millisecond
 
 // learn takes what the end of an attempt says about its target.
-func (b *Coordinator) learn(now time.Time, c *call, e End) {
+func (b *Coordinator) learn(now time.Time, c *call, e Completion) {
 	t := c.target
 	if e.Leaving || e.Class == pick.Leaving {
 		b.leave(t)
@@ -102,7 +102,7 @@
 	case pick.Shed:
 		b.rest(now, t)
 	}
-	if e.Load >= 0 && e.Class != Returned {
+	if e.Load >= 0 && e.Class != Unused {
 		t.foreign = max(e.Load-t.inFlight(), 0)
 		t.foreignAt = b.clock.At(now)
 	}
@@ -142,7 +142,7 @@
 // learnGap learns how long a slot stands empty between two attempts because
 // grant and release are on their way. The release tells how long the attempt
 // took at the entry host; the rest of the time from the grant was the journey.
-func (b *Coordinator) learnGap(now time.Time, c *call, e End) {
+func (b *Coordinator) learnGap(now time.Time, c *call, e Completion) {
 	gap := now.Sub(c.granted) - e.Latency
 	if gap < 0 || gap > maxGap {
 		return
@@ -152,8 +152,8 @@
 
 func (b *Coordinator) record(now time.Time, t *target, failed bool) {
 	b.failures.Record(failed)
-	t.doubted = t.health.Ejected(now) || t.health.Trial()
-	if t.health.Record(now, failed, &b.failures) && health.Allowed(b.CountEjected(now), len(b.targets)) {
+	t.doubted = t.health.Ejected(now) || t.health.OnTrial()
+	if t.health.Record(now, failed, &b.failures) && health.MayEject(b.CountEjected(now), len(b.targets)) {
 		t.health.Eject(now, b.rng)
 		t.doubted = true
 		b.newlyOut = append(b.newlyOut, t.id)
--- a/policy/health/health.go
+++ b/policy/health/health.go
@@ -78,10 +78,10 @@
 	return false
 }
 
-// Allowed reports whether one more of total targets may be ejected. The cap
+// MayEject reports whether one more of total targets may be ejected. The cap
 // keeps a fault that many targets share from crushing the rest with the load of
 // all: above it, failing targets go on being used.
-func Allowed(ejected, total int) bool {
+func MayEject(ejected, total int) bool {
 	return float64(ejected+1) <= maxEjected*float64(total) || (ejected == 0 && total >= 2)
 }
 
@@ -98,13 +98,13 @@
 // Ejected reports whether the target is left out now.
 func (s *State) Ejected(now time.Time) bool { return now.Before(s.until) }
 
-// Trial reports whether the target came back from an ejection and has yet to
+// OnTrial reports whether the target came back from an ejection and has yet to
 // prove itself; it runs one call at a time until then.
-func (s *State) Trial() bool { return s.trial }
+func (s *State) OnTrial() bool { return s.trial }
 
-// Probed takes the answer of a health endpoint. A good one ends an ejection
+// RecordProbe takes the answer of a health endpoint. A good one ends an ejection
 // early and starts the trial; a bad one changes nothing.
-func (s *State) Probed(now time.Time, ok bool) {
+func (s *State) RecordProbe(now time.Time, ok bool) {
 	if ok && s.Ejected(now) {
 		s.until = now
 	}
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -34,7 +34,7 @@
 	s.Eject(noon, rng)
 	assert.Check(t, s.Ejected(noon.Add(firstEjection-1)))
 	later := noon.Add(2 * firstEjection)
-	assert.Check(t, s.Trial() && !s.Ejected(later))
+	assert.Check(t, s.OnTrial() && !s.Ejected(later))
 	assert.Check(t, s.Record(later, true, &svc), "a failure in the trial ejects again")
 	s.Eject(later, rng)
 	assert.Check(t, s.Ejected(later.Add(2*firstEjection-1)))
@@ -48,8 +48,8 @@
 func TestAGoodProbeOnlyShortensAnEjection(t *testing.T) {
 	var s State
 	s.Eject(noon, rand.New(rand.NewPCG(1, 1)))
-	s.Probed(noon, false)
+	s.RecordProbe(noon, false)
 	assert.Check(t, s.Ejected(noon))
-	s.Probed(noon, true)
-	assert.Check(t, !s.Ejected(noon) && s.Trial())
+	s.RecordProbe(noon, true)
+	assert.Check(t, !s.Ejected(noon) && s.OnTrial())
 }
--- a/policy/latency/latency.go
+++ b/policy/latency/latency.go
@@ -67,14 +67,14 @@
 // Median returns the median as of a few calls ago.
 func (t *Tracker) Median() time.Duration { return t.median }
 
-// High returns the 95th percentile as of a few calls ago.
-func (t *Tracker) High() time.Duration { return t.high }
+// P95 returns the 95th percentile as of a few calls ago.
+func (t *Tracker) P95() time.Duration { return t.high }
 
-// Needs returns the time that a call must have left to be worth taking if it
+// RequiredTime returns the time that a call must have left to be worth taking if it
 // has to wait first. Without a wait the median is enough: most calls make it. A
 // long wait is itself uncertain, so that up to the 95th percentile is added:
 // slots spent on answers that come too late are lost to everyone.
-func (t *Tracker) Needs(wait time.Duration) time.Duration {
+func (t *Tracker) RequiredTime(wait time.Duration) time.Duration {
 	return wait + t.median + min(wait, t.high-t.median)
 }
 
--- a/policy/latency/latency_test.go
+++ b/policy/latency/latency_test.go
@@ -13,12 +13,12 @@
 		tr.Observe(time.Duration(i%100+1) * time.Millisecond)
 	}
 	within(t, tr.Median(), 50*time.Millisecond)
-	within(t, tr.High(), 95*time.Millisecond)
+	within(t, tr.P95(), 95*time.Millisecond)
 	within(t, tr.Mean(), 50*time.Millisecond)
 	for range 20_000 {
 		tr.Observe(5 * time.Millisecond)
 	}
-	within(t, tr.High(), 5*time.Millisecond)
+	within(t, tr.P95(), 5*time.Millisecond)
 }
 
 // within allows for the width of a bucket.
@@ -40,6 +40,6 @@
 	for i := range 1000 {
 		tr.Observe(time.Duration(i%100+1) * time.Millisecond)
 	}
-	assert.Equal(t, tr.Needs(0), tr.Median())
-	assert.Equal(t, tr.Needs(time.Second), time.Second+tr.High())
+	assert.Equal(t, tr.RequiredTime(0), tr.Median())
+	assert.Equal(t, tr.RequiredTime(time.Second), time.Second+tr.P95())
 }
--- a/policy/choice/local.go
+++ b/policy/localpick/local.go
@@ -2,7 +2,7 @@
 // its own attempts in flight, the load that targets report in their answers,
 // and notices of overdue attempts from other hosts. It serves while no
 // coordinator does.
-package choice
+package localpick
 
 import (
 	"math/rand/v2"
@@ -170,7 +170,7 @@
 // suits reports whether nothing speaks against a target with a slot free.
 func (l *Local) suits(now time.Time, t *target, strict bool, avoid []ports.HostID) bool {
 	if t.doubted {
-		if t.health.Ejected(now) || (t.health.Trial() && t.own > 0) {
+		if t.health.Ejected(now) || (t.health.OnTrial() && t.own > 0) {
 			return false
 		}
 	}
@@ -279,7 +279,7 @@
 
 func (l *Local) record(now time.Time, t *target, failed bool) {
 	l.failures.Record(failed)
-	t.doubted = t.health.Ejected(now) || t.health.Trial()
+	t.doubted = t.health.Ejected(now) || t.health.OnTrial()
 	if !t.health.Record(now, failed, &l.failures) {
 		return
 	}
@@ -289,7 +289,7 @@
 			ejected++
 		}
 	}
-	if health.Allowed(ejected, len(l.targets)) {
+	if health.MayEject(ejected, len(l.targets)) {
 		t.health.Eject(now, l.rng)
 		t.doubted = true
 	}
--- a/policy/choice/local_test.go
+++ b/policy/localpick/local_test.go
@@ -1,4 +1,4 @@
-package choice
+package localpick
 
 import (
 	"fmt"
--- a/policy/placing/decide.go
+++ b/policy/placement/decide.go
@@ -1,19 +1,19 @@
-package placing
+package placement
 
 // goodCost is the cost at which a target is taken at once: a slot is free there, and the
 // work takes little longer than usual.
 const goodCost = 1.6
 
-// Next is what a choice can do if it does not take the best target it has seen.
-type Next uint8
+// Fallback is what a choice can do if it does not take the best target it has seen.
+type Fallback uint8
 
 const (
-	// MayProbeFar: targets of other availability zones were not probed yet.
-	MayProbeFar Next = iota
-	// MayWait: a better target may turn up in a moment.
-	MayWait
-	// Last: nothing.
-	Last
+	// ProbeOtherZones: targets of other availability zones were not probed yet.
+	ProbeOtherZones Fallback = iota
+	// WaitForBetter: a better target may turn up in a moment.
+	WaitForBetter
+	// NoFallback: nothing.
+	NoFallback
 )
 
 // Decision is what becomes of a call.
@@ -22,8 +22,8 @@
 const (
 	// Take sends the call to the best target.
 	Take Decision = iota
-	// GoOn does what may come next.
-	GoOn
+	// Continue does what may come next.
+	Continue
 	// Refuse tells the caller at once that the call does not run.
 	Refuse
 )
@@ -35,16 +35,16 @@
 // be probed has a queue that leads to a late answer, and a call that waits for a better one
 // takes the slot that another would have got in time, or is refused later. Refused at once
 // it comes again sooner, or elsewhere.
-func Decide(cost float64, worthwhile bool, next Next) Decision {
+func Decide(cost float64, worthwhile bool, next Fallback) Decision {
 	switch {
 	case cost <= goodCost && worthwhile:
 		return Take
-	case next == MayProbeFar:
-		return GoOn
+	case next == ProbeOtherZones:
+		return Continue
 	case !worthwhile:
 		return Refuse
-	case next == MayWait:
-		return GoOn
+	case next == WaitForBetter:
+		return Continue
 	default:
 		return Take
 	}
--- a/policy/placing/decide_test.go
+++ b/policy/placement/decide_test.go
@@ -1,4 +1,4 @@
-package placing
+package placement
 
 import (
 	"testing"
@@ -12,19 +12,19 @@
 	for _, c := range []struct {
 		cost       float64
 		worthwhile bool
-		next       Next
+		next       Fallback
 		want       Decision
 	}{
-		{1, true, MayProbeFar, Take},
-		{1, true, Last, Take},
-		{1, false, MayProbeFar, GoOn},
-		{1, false, MayWait, Refuse},
-		{3, true, MayProbeFar, GoOn},
-		{3, true, MayWait, GoOn},
-		{3, true, Last, Take},
-		{3, false, MayProbeFar, GoOn},
-		{3, false, MayWait, Refuse},
-		{3, false, Last, Refuse},
+		{1, true, ProbeOtherZones, Take},
+		{1, true, NoFallback, Take},
+		{1, false, ProbeOtherZones, Continue},
+		{1, false, WaitForBetter, Refuse},
+		{3, true, ProbeOtherZones, Continue},
+		{3, true, WaitForBetter, Continue},
+		{3, true, NoFallback, Take},
+		{3, false, ProbeOtherZones, Continue},
+		{3, false, WaitForBetter, Refuse},
+		{3, false, NoFallback, Refuse},
 	} {
 		assert.Equal(t, Decide(c.cost, c.worthwhile, c.next), c.want, "%+v", c)
 	}
--- a/policy/placing/placing.go
+++ b/policy/placement/placing.go
@@ -1,7 +1,7 @@
 // Package placing decides which target a call goes to, from figures that targets
 // told a moment ago. It answers a load of many short spells in which a target's
 // neighbours slow it down several times: what was true 100 ms ago says little.
-package placing
+package placement
 
 import (
 	"time"
@@ -44,71 +44,71 @@
 	queueFactor = 2
 )
 
-// Usual is what targets told of late, those of the own availability zone and those
+// Baseline is what targets told of late, those of the own availability zone and those
 // of others each for themselves. It stands for a target that told nothing for a
 // while: when one zone has more than it can take, all of its targets are likely to be
 // full.
-type Usual struct {
-	// Share is calls of other hosts for each slot, Pace as in targetapi.Load.
-	Share float64
+type Baseline struct {
+	// OtherCallsPerSlot is calls of other hosts for each slot, Pace as in targetapi.Load.
+	OtherCallsPerSlot float64
 	Pace  float64
 }
 
-// NewUsual returns what to reckon with before any target told anything.
-func NewUsual() Usual { return Usual{Pace: firstPace} }
+// NewBaseline returns what to reckon with before any target told anything.
+func NewBaseline() Baseline { return Baseline{Pace: firstPace} }
 
-// Learn takes in what a target with some slots told, of which others is calls of other
+// Observe takes in what a target with some slots told, of which others is calls of other
 // hosts.
-func (u *Usual) Learn(l targetapi.Load, others, slots int) {
-	u.Share += learnWeight * (float64(others)/float64(slots) - u.Share)
+func (u *Baseline) Observe(l targetapi.Load, others, slots int) {
+	u.OtherCallsPerSlot += learnWeight * (float64(others)/float64(slots) - u.OtherCallsPerSlot)
 	u.Pace += learnWeight * (l.Pace - u.Pace)
 }
 
-// Figures are what is known of a target.
-type Figures struct {
+// TargetState are what is known of a target.
+type TargetState struct {
 	// Load is what the target told last, At when; the zero time is never.
 	Load targetapi.Load
-	At   time.Time
-	// Others is how many of the calls it told of were those of other hosts, InFlight
+	ReportedAt   time.Time
+	// OtherCalls is how many of the calls it told of were those of other hosts, InFlight
 	// the calls of this host that are there now.
 	//
 	// What this host knows by itself is never out of date: with figures that counted its
 	// own calls as told, and on top of it those sent since, a host that could probe little
 	// refused half of what an otherwise idle service could run.
-	Others   int
+	OtherCalls   int
 	InFlight int
 	// Slots is the number of calls it runs at once, as the platform lists it.
 	Slots int
-	Far   bool
+	OtherZone   bool
 	Cold  bool
-	// Usual is what to reckon with in so far as the figures are old.
-	Usual Usual
+	// Baseline is what to reckon with in so far as the figures are old.
+	Baseline Baseline
 }
 
-// Told takes in what the target tells of itself. A call counts itself in the answer to
+// ObserveLoad takes in what the target tells of itself. A call counts itself in the answer to
 // it, so that an answer is taken in before its call is counted off.
-func (f *Figures) Told(now time.Time, l targetapi.Load) {
+func (f *TargetState) ObserveLoad(now time.Time, l targetapi.Load) {
 	f.Load = l
-	f.At = now
-	f.Others = max(0, l.Running+l.Waiting-f.InFlight)
+	f.ReportedAt = now
+	f.OtherCalls = max(0, l.Running+l.Waiting-f.InFlight)
 	if l.Slots > 0 {
 		f.Slots = l.Slots
 	}
 }
 
 // Age returns the age of what the target told.
-func (f *Figures) Age(now time.Time) time.Duration {
-	if f.At.IsZero() {
+func (f *TargetState) Age(now time.Time) time.Duration {
+	if f.ReportedAt.IsZero() {
 		return time.Hour
 	}
-	return now.Sub(f.At)
+	return now.Sub(f.ReportedAt)
 }
 
 // Fresh reports whether the figures can be used as they are.
-func (f *Figures) Fresh(now time.Time) bool { return f.Age(now) < freshFor }
+func (f *TargetState) Fresh(now time.Time) bool { return f.Age(now) < freshFor }
 
 // Known reports whether the figures say anything of the calls at the target.
-func (f *Figures) Known(now time.Time) bool { return f.Age(now) < callsFor }
+func (f *TargetState) Known(now time.Time) bool { return f.Age(now) < callsFor }
 
 // trust is 1 for what was told just now and 0 for what is older than some time.
 func trust(age, whole time.Duration) float64 {
@@ -119,26 +119,26 @@
 }
 
 // calls returns the calls to reckon with at the target.
-func (f *Figures) calls(age time.Duration) float64 {
+func (f *TargetState) calls(age time.Duration) float64 {
 	t := trust(age, callsFor)
-	usual := f.Usual.Share * float64(f.Slots)
-	return t*float64(f.Others) + (1-t)*usual + float64(f.InFlight)
+	usual := f.Baseline.OtherCallsPerSlot * float64(f.Slots)
+	return t*float64(f.OtherCalls) + (1-t)*usual + float64(f.InFlight)
 }
 
 // pace returns the pace to reckon with: the figure, and with age more and more
 // the usual one.
-func (f *Figures) pace(age time.Duration) float64 {
+func (f *TargetState) pace(age time.Duration) float64 {
 	t := trust(age, paceFor)
-	return t*f.Load.Pace + (1-t)*f.Usual.Pace
+	return t*f.Load.Pace + (1-t)*f.Baseline.Pace
 }
 
 // Full reports whether the target may not be able to queue one more call.
-func (f *Figures) Full(now time.Time) bool {
+func (f *TargetState) Full(now time.Time) bool {
 	return f.calls(f.Age(now)) >= float64((1+queueFactor)*f.Slots)
 }
 
-// Queues reports whether one more call would wait for a slot.
-func (f *Figures) Queues(now time.Time) bool { return f.calls(f.Age(now)) >= float64(f.Slots) }
+// WouldQueue reports whether one more call would wait for a slot.
+func (f *TargetState) WouldQueue(now time.Time) bool { return f.calls(f.Age(now)) >= float64(f.Slots) }
 
 // Worthwhile reports whether a call should go to a target where its answer would
 // come after some time: in time for its objective, or at once in a slot that is free; while
@@ -149,16 +149,16 @@
 // that is late already, most of all one that was refused before, takes the slot of one that
 // could still be in time; and a queue is longer when a call gets there than it was reckoned, since other
 // hosts see the same target.
-func Worthwhile(f *Figures, now time.Time, answer, objectiveLeft time.Duration) bool {
+func Worthwhile(f *TargetState, now time.Time, answer, objectiveLeft time.Duration) bool {
 	inTime := float64(answer) <= slack*float64(objectiveLeft)
-	if f.Usual.Share < scarce {
-		return inTime || !f.Queues(now)
+	if f.Baseline.OtherCallsPerSlot < scarce {
+		return inTime || !f.WouldQueue(now)
 	}
-	return inTime && !f.Queues(now)
+	return inTime && !f.WouldQueue(now)
 }
 
-// Time is how long one more call would take until its answer, in usual work times.
-func (f *Figures) Time(now time.Time) float64 {
+// ExpectedTime is how long one more call would take until its answer, in usual work times.
+func (f *TargetState) ExpectedTime(now time.Time) float64 {
 	age, slots := f.Age(now), float64(f.Slots)
 	calls := f.calls(age)
 	t := f.pace(age) * (1 + max(0, calls+1-slots)/slots + crowding*calls/slots)
@@ -168,16 +168,16 @@
 	return t
 }
 
-// Way is what sending some bytes to another availability zone and back costs, in usual work
+// TransferCost is what sending some bytes to another availability zone and back costs, in usual work
 // times. A large answer stays in its zone unless the wait there is long; a small one goes
 // where it is soonest.
-func Way(bytes float64) float64 { return farCost + bytes/bytesForWork }
+func TransferCost(bytes float64) float64 { return farCost + bytes/bytesForWork }
 
 // Cost is what a choice goes by: the time until the answer, and the price of the way
 // there in the same unit; way is that of another availability zone.
-func (f *Figures) Cost(now time.Time, way float64) float64 {
-	if f.Far {
-		return f.Time(now) + way
+func (f *TargetState) Cost(now time.Time, way float64) float64 {
+	if f.OtherZone {
+		return f.ExpectedTime(now) + way
 	}
-	return f.Time(now)
+	return f.ExpectedTime(now)
 }
--- a/policy/placing/silent.go
+++ b/policy/placement/silent.go
@@ -1,4 +1,4 @@
-package placing
+package placement
 
 import (
 	"time"
@@ -22,8 +22,8 @@
 // a probe. The zero value knows nothing.
 type ProbeTimes struct{ usual time.Duration }
 
-// Learn takes in how long an answer took, or how long one that did not come was waited for.
-func (q *ProbeTimes) Learn(took time.Duration) {
+// Observe takes in how long an answer took, or how long one that did not come was waited for.
+func (q *ProbeTimes) Observe(took time.Duration) {
 	switch {
 	case q.usual == 0:
 		q.usual = took
@@ -35,17 +35,17 @@
 	q.usual = max(q.usual, leastUsual)
 }
 
-// Usual returns the usual time, 0 if no answer came yet.
-func (q *ProbeTimes) Usual() time.Duration { return q.usual }
+// Typical returns the usual time, 0 if no answer came yet.
+func (q *ProbeTimes) Typical() time.Duration { return q.usual }
 
-// Answered takes in that a target which tells nothing of its load answered a probe.
+// ObserveProbe takes in that a target which tells nothing of its load answered a probe.
 //
 // It answers services whose targets are silent. A probe waits for a slot there and takes
 // as much longer than usual as the target is slower, so that its time says what the load
 // would: that a slot was free, and the pace. The pace is not learned from calls, whose work
 // differs from one to the next.
-func (f *Figures) Answered(now time.Time, took, usual time.Duration) targetapi.Load {
+func (f *TargetState) ObserveProbe(now time.Time, took, usual time.Duration) targetapi.Load {
 	l := targetapi.Load{Running: f.InFlight, Pace: max(1, float64(took)/float64(max(usual, leastUsual)))}
-	f.Told(now, l)
+	f.ObserveLoad(now, l)
 	return l
 }
--- a/policy/placing/silent_test.go
+++ b/policy/placement/silent_test.go
@@ -1,4 +1,4 @@
-package placing
+package placement
 
 import (
 	"math/rand/v2"
@@ -13,19 +13,19 @@
 func TestUsualTimeOfQuestions(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var q ProbeTimes
-	assert.Equal(t, q.Usual(), time.Duration(0))
+	assert.Equal(t, q.Typical(), time.Duration(0))
 	for range 500 {
 		if rng.IntN(4) == 0 {
-			q.Learn(14 * time.Millisecond)
+			q.Observe(14 * time.Millisecond)
 		} else {
-			q.Learn(2 * time.Millisecond)
+			q.Observe(2 * time.Millisecond)
 		}
 	}
-	assert.Check(t, q.Usual() < 3*time.Millisecond && q.Usual() > 1500*time.Microsecond, "%s", q.Usual())
+	assert.Check(t, q.Typical() < 3*time.Millisecond && q.Typical() > 1500*time.Microsecond, "%s", q.Typical())
 	for range 200 {
-		q.Learn(8 * time.Millisecond)
+		q.Observe(8 * time.Millisecond)
 	}
-	assert.Check(t, q.Usual() > 6*time.Millisecond, "%s", q.Usual())
+	assert.Check(t, q.Typical() > 6*time.Millisecond, "%s", q.Typical())
 }
 
 // One answer of a liar, or of a host that was paused, moves the usual time by a twentieth
@@ -33,15 +33,15 @@
 func TestUsualTimeIsNotLedAstray(t *testing.T) {
 	var q ProbeTimes
 	for range 50 {
-		q.Learn(4 * time.Millisecond)
+		q.Observe(4 * time.Millisecond)
 	}
-	before := q.Usual()
-	q.Learn(time.Hour)
-	assert.Check(t, q.Usual() < before+before/20)
+	before := q.Typical()
+	q.Observe(time.Hour)
+	assert.Check(t, q.Typical() < before+before/20)
 	for range 1000 {
-		q.Learn(0)
+		q.Observe(0)
 	}
-	assert.Equal(t, q.Usual(), leastUsual)
+	assert.Equal(t, q.Typical(), leastUsual)
 }
 
 // A large answer goes to another zone only if the wait in its own is long, a small one
@@ -49,9 +49,9 @@
 func TestWayOfLargeAndSmallAnswers(t *testing.T) {
 	busy := told(4, 2, 1)
 	free := told(0, 0, 1)
-	free.Far = true
-	assert.Check(t, free.Cost(now, Way(400)) < busy.Cost(now, Way(400)))
-	assert.Check(t, free.Cost(now, Way(90_000)) > busy.Cost(now, Way(90_000)))
+	free.OtherZone = true
+	assert.Check(t, free.Cost(now, TransferCost(400)) < busy.Cost(now, TransferCost(400)))
+	assert.Check(t, free.Cost(now, TransferCost(90_000)) > busy.Cost(now, TransferCost(90_000)))
 	slow := told(4, 2, 7)
-	assert.Check(t, free.Cost(now, Way(90_000)) < slow.Cost(now, Way(90_000)))
+	assert.Check(t, free.Cost(now, TransferCost(90_000)) < slow.Cost(now, TransferCost(90_000)))
 }
--- a/policy/placing/subset.go
+++ b/policy/placement/subset.go
@@ -1,4 +1,4 @@
-package placing
+package placement
 
 import (
 	"math"
@@ -7,10 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kept is how many targets of the own availability zone a host chooses among, and how many of
+// SubsetSize is how many targets of the own availability zone a host chooses among, and how many of
 // all others: where thousands serve few calls each, what a host learns of one is old before it
 // comes back to it, and a look at each for every call takes longer than the call.
-const Kept = 384
+const SubsetSize = 384
 
 // Subset is the part of a service's targets that one host chooses among. Each target is in it
 // with the same chance, whatever others there are: targets that come or go move few others, and
@@ -22,16 +22,16 @@
 	near, far uint64
 }
 
-// Fit sets the chances by the number of targets of the own zone and of others.
-func (s *Subset) Fit(near, far int) {
+// Resize sets the chances by the number of targets of the own zone and of others.
+func (s *Subset) Resize(near, far int) {
 	s.near, s.far = chance(near), chance(far)
 }
 
-// All has all targets be in the subset.
-func (s *Subset) All() { s.near, s.far = math.MaxUint64, math.MaxUint64 }
+// IncludeAll has all targets be in the subset.
+func (s *Subset) IncludeAll() { s.near, s.far = math.MaxUint64, math.MaxUint64 }
 
-// Has reports whether a target is in the subset.
-func (s *Subset) Has(id string, far bool) bool {
+// Contains reports whether a target is in the subset.
+func (s *Subset) Contains(id string, far bool) bool {
 	most := s.near
 	if far {
 		most = s.far
@@ -41,10 +41,10 @@
 
 // chance returns the score below which Kept of so many targets are likely to be.
 func chance(of int) uint64 {
-	if of <= Kept {
+	if of <= SubsetSize {
 		return math.MaxUint64
 	}
-	return uint64(math.MaxUint64 / float64(of) * Kept)
+	return uint64(math.MaxUint64 / float64(of) * SubsetSize)
 }
 
 // score mixes a target's hash with the host's seed; the mixing is the finaliser of SplitMix64.
--- a/policy/placing/subset_test.go
+++ b/policy/placement/subset_test.go
@@ -1,4 +1,4 @@
-package placing
+package placement
 
 import (
 	"fmt"
@@ -11,9 +11,9 @@
 // Few targets are all chosen among.
 func TestSmallServicesAreWhole(t *testing.T) {
 	s := Subset{Seed: 1}
-	s.Fit(Kept, Kept)
-	for i := range 2 * Kept {
-		assert.Check(t, s.Has(fmt.Sprint(i), i%2 == 0))
+	s.Resize(SubsetSize, SubsetSize)
+	for i := range 2 * SubsetSize {
+		assert.Check(t, s.Contains(fmt.Sprint(i), i%2 == 0))
 	}
 }
 
@@ -26,18 +26,18 @@
 	least, most := targets, 0
 	for range hosts {
 		s := Subset{Seed: rng.Uint64()}
-		s.Fit(targets, 0)
+		s.Resize(targets, 0)
 		kept := 0
 		for i := range targets {
-			if s.Has(fmt.Sprintf("i-%x", i), false) {
+			if s.Contains(fmt.Sprintf("i-%x", i), false) {
 				covered[i]++
 				kept++
 			}
 		}
 		least, most = min(least, kept), max(most, kept)
 	}
-	assert.Check(t, least > Kept*8/10 && most < Kept*12/10, "hosts keep %d to %d", least, most)
-	usual := hosts * Kept / targets
+	assert.Check(t, least > SubsetSize*8/10 && most < SubsetSize*12/10, "hosts keep %d to %d", least, most)
+	usual := hosts * SubsetSize / targets
 	for i, n := range covered {
 		assert.Check(t, n > usual/2 && n < usual*3/2, "target %d is kept by %d hosts, %d is usual", i, n, usual)
 	}
@@ -46,15 +46,15 @@
 // Targets that come and go move few others in or out.
 func TestSubsetsMoveLittle(t *testing.T) {
 	s := Subset{Seed: 7}
-	s.Fit(1000, 0)
+	s.Resize(1000, 0)
 	before := make(map[int]bool)
 	for i := range 1000 {
-		before[i] = s.Has(fmt.Sprint(i), false)
+		before[i] = s.Contains(fmt.Sprint(i), false)
 	}
-	s.Fit(1050, 0)
+	s.Resize(1050, 0)
 	moved := 0
 	for i, had := range before {
-		if s.Has(fmt.Sprint(i), false) != had {
+		if s.Contains(fmt.Sprint(i), false) != had {
 			moved++
 		}
 	}
--- a/policy/quota/late.go
+++ b/policy/quota/late.go
@@ -28,15 +28,15 @@
 // Late takes in a request and reports whether it came back so late that an answer can hardly be
 // in time: at least half of its objective has passed.
 func (a *Arrivals) Late(r Request) bool {
-	if r.Objective <= 0 || r.Left < 0 {
+	if r.Objective <= 0 || r.Remaining < 0 {
 		return false
 	}
-	a.left[a.count%keptArrivals] = r.Left
+	a.left[a.count%keptArrivals] = r.Remaining
 	a.count++
 	if a.count%learnEvery == 0 {
 		a.learn()
 	}
-	return r.Left < a.usual-r.Objective/2
+	return r.Remaining < a.usual-r.Objective/2
 }
 
 func (a *Arrivals) learn() {
--- a/policy/quota/part.go
+++ b/policy/quota/part.go
@@ -40,8 +40,8 @@
 	return &Part{tolerance: t, limit: l, zones: float64(max(zones, 1)), last: from}
 }
 
-// Start gives the part the tokens that it has once all hosts have started anew.
-func (p *Part) Start() { p.add(p.tolerance.start(p.limit) / p.zones) }
+// AddStartTokens gives the part the tokens that it has once all hosts have started anew.
+func (p *Part) AddStartTokens() { p.add(p.tolerance.start(p.limit) / p.zones) }
 
 // Empty takes all tokens away; the part gains some again from a moment on.
 func (p *Part) Empty(from time.Time) {
@@ -49,9 +49,9 @@
 	p.last = from
 }
 
-// Follow is Empty for a host that comes to own the part. It keeps one token of a small part,
+// TakeOver is Empty for a host that comes to own the part. It keeps one token of a small part,
 // which gains so few that requests would be refused for seconds.
-func (p *Part) Follow(from time.Time) {
+func (p *Part) TakeOver(from time.Time) {
 	p.Empty(from)
 	if p.Small() {
 		p.tokens = 1
@@ -95,8 +95,8 @@
 	return lent
 }
 
-// Borrowed adds tokens that another zone lent.
-func (p *Part) Borrowed(now time.Time, n float64) {
+// AddBorrowed adds tokens that another zone lent.
+func (p *Part) AddBorrowed(now time.Time, n float64) {
 	p.refill(now)
 	p.add(max(n, 0))
 }
@@ -105,13 +105,13 @@
 // quota: each borrowing is a message to another zone.
 const borrowAhead = 100 * time.Millisecond
 
-// Want returns how many tokens are worth borrowing for a request that found none.
-func (p *Part) Want() float64 {
+// BorrowAmount returns how many tokens are worth borrowing for a request that found none.
+func (p *Part) BorrowAmount() float64 {
 	return max(0, 1-p.tokens) + p.limit.Rate*borrowAhead.Seconds()
 }
 
-// Wait returns how long it takes until those are served that found no token of late.
-func (p *Part) Wait(now time.Time) time.Duration {
+// RetryAfter returns how long it takes until those are served that found no token of late.
+func (p *Part) RetryAfter(now time.Time) time.Duration {
 	p.refill(now)
 	wait := (1 - p.tokens + p.short) / p.rate()
 	return min(max(time.Duration(wait*float64(time.Second)), minWait), maxWait)
--- a/policy/quota/part_test.go
+++ b/policy/quota/part_test.go
@@ -34,7 +34,7 @@
 		parts := make([]*Part, zones)
 		for i := range parts {
 			parts[i] = NewPart(now, l, tolerance, zones)
-			parts[i].Start()
+			parts[i].AddStartTokens()
 		}
 		var ran []time.Time
 		for range 5000 {
@@ -44,12 +44,12 @@
 				ran = append(ran, now)
 				continue
 			}
-			lent := parts[rng.IntN(zones)].Lend(now, p.Want())
+			lent := parts[rng.IntN(zones)].Lend(now, p.BorrowAmount())
 			if !lossy || rng.IntN(10) > 0 {
-				p.Borrowed(now, lent)
+				p.AddBorrowed(now, lent)
 			}
 		}
-		bound := tolerance.Most(l, tolerance.Window)
+		bound := tolerance.MaxRequests(l, tolerance.Window)
 		assert.Check(t, float64(most(ran, tolerance.Window)) <= bound, "seed %d: %d of %g", seed, most(ran, tolerance.Window), bound)
 		assert.Check(t, lossy || float64(len(ran)) >= 0.8*min(5000, l.Rate*now.Sub(time.Unix(1000, 0)).Seconds()), "seed %d: only %d", seed, len(ran))
 	}
@@ -77,11 +77,11 @@
 	now := time.Unix(1000, 0)
 	p := NewPart(now, Limit{Rate: 30, Burst: 1}, tolerance, 3)
 	assert.Check(t, !p.Take(now, false))
-	assert.Equal(t, p.Wait(now), 200*time.Millisecond, "one token for it, one for who comes then")
+	assert.Equal(t, p.RetryAfter(now), 200*time.Millisecond, "one token for it, one for who comes then")
 	for range 1000 {
 		p.Take(now, false)
 	}
-	assert.Equal(t, p.Wait(now), maxWait)
+	assert.Equal(t, p.RetryAfter(now), maxWait)
 }
 
 func BenchmarkTake(b *testing.B) {
@@ -119,7 +119,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	var a Arrivals
 	ask := func(left time.Duration) bool {
-		return a.Late(Request{Objective: 600 * time.Millisecond, Left: left})
+		return a.Late(Request{Objective: 600 * time.Millisecond, Remaining: left})
 	}
 	for range 100 {
 		ask(5*time.Second - time.Duration(rng.IntN(100))*time.Millisecond)
@@ -131,6 +131,6 @@
 	}
 	assert.Check(t, !ask(4900*time.Millisecond))
 	assert.Check(t, ask(4500*time.Millisecond))
-	assert.Check(t, !a.Late(Request{Left: time.Second}), "a route without an objective has no late requests")
-	assert.Check(t, !a.Late(Request{Objective: time.Second, Left: -1}), "a caller that does not say")
+	assert.Check(t, !a.Late(Request{Remaining: time.Second}), "a route without an objective has no late requests")
+	assert.Check(t, !a.Late(Request{Objective: time.Second, Remaining: -1}), "a caller that does not say")
 }
--- a/policy/quota/quota.go
+++ b/policy/quota/quota.go
@@ -40,14 +40,14 @@
 // start returns the tokens that all parts together hold after a start of all hosts.
 func (t Tolerance) start(l Limit) float64 { return startShare * t.spare(l) }
 
-// Most returns how many requests may run within a span of time: what is asserted, and what
+// MaxRequests returns how many requests may run within a span of time: what is asserted, and what
 // tests check.
-func (t Tolerance) Most(l Limit, span time.Duration) float64 {
+func (t Tolerance) MaxRequests(l Limit, span time.Duration) float64 {
 	return l.Rate*span.Seconds() + l.Burst + t.spare(l)
 }
 
-// Word is a limit as a host last heard of it. The zero value says nothing.
-type Word struct {
+// ObservedLimit is a limit as a host last heard of it. The zero value says nothing.
+type ObservedLimit struct {
 	Known bool `msgpack:"known"`
 	// Rate is 0 if there is no limit.
 	Rate float64 `msgpack:"rate"`
@@ -62,11 +62,11 @@
 	// Zone is the availability zone whose hosts own the part; empty for that of the host that
 	// asks.
 	Zone string `msgpack:"zone,omitempty"`
-	// Word is what that host knows of the limit, where the configuration doesn't say.
-	Word Word `msgpack:"word,omitempty"`
+	// Observed is what that host knows of the limit, where the configuration doesn't say.
+	Observed ObservedLimit `msgpack:"word,omitempty"`
 	// Route names its route, whose requests all have the same Objective; see dispatch.Call.
 	Route     string        `msgpack:"route"`
 	Objective time.Duration `msgpack:"objective"`
-	// Left is how much time the caller has left; negative if it does not say.
-	Left time.Duration `msgpack:"left"`
+	// Remaining is how much time the caller has left; negative if it does not say.
+	Remaining time.Duration `msgpack:"left"`
 }
--- a/policy/rendezvous/rendezvous.go
+++ b/policy/rendezvous/rendezvous.go
@@ -74,9 +74,9 @@
 	return x
 }
 
-// Among reports whether a host is one of the n live hosts of a zone with the highest scores for
+// InTopN reports whether a host is one of the n live hosts of a zone with the highest scores for
 // a key; of all zones if zone is empty. It allocates nothing.
-func Among(self ports.HostID, key, zone string, n int, members []blackboard.Member) bool {
+func InTopN(self ports.HostID, key, zone string, n int, members []blackboard.Member) bool {
 	k := xxhash.Sum64String(key)
 	own := score(k, self)
 	above, present := 0, false
@@ -96,9 +96,9 @@
 	return present && above < n
 }
 
-// Ranked returns the n live hosts of a zone with the highest scores for a key, the highest
+// TopN returns the n live hosts of a zone with the highest scores for a key, the highest
 // first.
-func Ranked(key, zone string, n int, members []blackboard.Member) []ports.HostID {
+func TopN(key, zone string, n int, members []blackboard.Member) []ports.HostID {
 	type ranked struct {
 		id    ports.HostID
 		score uint64
--- a/policy/retry/retry.go
+++ b/policy/retry/retry.go
@@ -38,8 +38,8 @@
 // SetRatio changes the ratio; what was saved stays.
 func (b *Budget) SetRatio(ratio float64) { b.ratio = min(max(ratio, 0), 1) }
 
-// Call notes the first attempt of a call.
-func (b *Budget) Call() {
+// RecordCall notes the first attempt of a call.
+func (b *Budget) RecordCall() {
 	b.tokens = min(b.tokens+b.ratio, maxSaved)
 }
 
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -12,7 +12,7 @@
 	b := NewBudget(0.1, now)
 	taken := 0
 	for range 10_000 {
-		b.Call()
+		b.RecordCall()
 		if b.Take(now) {
 			taken++
 		}
--- a/policy/retry/second.go
+++ b/policy/retry/second.go
@@ -13,7 +13,7 @@
 	early = 1.4
 )
 
-// SecondSend returns how long to wait for the answer to an idempotent call before it is
+// ObjectiveHedgeDelay returns how long to wait for the answer to an idempotent call before it is
 // sent to a second target. usual is the learned median of whole answers, high their 95th
 // percentile; objective is the time left until the answer is worth less, left the time
 // until it is worth nothing. False means that too little is known, or that a second answer
@@ -22,7 +22,7 @@
 // It answers targets that turn slow, fall silent or crash while they run a call: the
 // second is sent as late as it can still be answered within the objective, and if that
 // has passed or is too short, when nearly all answers would have come.
-func SecondSend(usual, high, objective, left time.Duration) (time.Duration, bool) {
+func ObjectiveHedgeDelay(usual, high, objective, left time.Duration) (time.Duration, bool) {
 	if usual <= 0 {
 		return 0, false
 	}
--- a/policy/retry/second_test.go
+++ b/policy/retry/second_test.go
@@ -22,7 +22,7 @@
 		{200 * ms, 300 * ms, 0, 500 * ms, 0, false, "it would come too late"},
 		{0, 0, 600 * ms, 2500 * ms, 0, false, "nothing is known"},
 	} {
-		got, ok := SecondSend(c.usual, c.high, c.objective, c.left)
+		got, ok := ObjectiveHedgeDelay(c.usual, c.high, c.objective, c.left)
 		assert.Equal(t, ok, c.ok, c.why)
 		assert.Equal(t, got, c.want, c.why)
 	}
@@ -34,7 +34,7 @@
 	now := time.Unix(1000, 0)
 	taken := 0
 	for range 20 {
-		if w.TakePart(now, 0.6) {
+		if w.TakeWithin(now, 0.6) {
 			taken++
 		}
 	}
--- a/policy/retry/window.go
+++ b/policy/retry/window.go
@@ -40,14 +40,14 @@
 // SetReserve changes the constant part, as hosts come and go.
 func (w *Window) SetReserve(n float64) { w.limits.Reserve = n }
 
-// Call notes a call.
-func (w *Window) Call(now time.Time) { w.calls.add(now) }
+// RecordCall notes a call.
+func (w *Window) RecordCall(now time.Time) { w.calls.add(now) }
 
 // Take pays for one further attempt and reports whether the window had it.
-func (w *Window) Take(now time.Time) bool { return w.TakePart(now, 1) }
+func (w *Window) Take(now time.Time) bool { return w.TakeWithin(now, 1) }
 
-// TakePart is Take as long as no more than a part of the window, 0 to 1, is used up.
-func (w *Window) TakePart(now time.Time, part float64) bool {
+// TakeWithin is Take as long as no more than a part of the window, 0 to 1, is used up.
+func (w *Window) TakeWithin(now time.Time, part float64) bool {
 	allowed := w.limits.Ratio*float64(w.calls.sum(now)) + w.limits.Reserve
 	if float64(w.spent.sum(now)+1) > part*allowed {
 		return false
--- a/policy/retry/window_test.go
+++ b/policy/retry/window_test.go
@@ -21,7 +21,7 @@
 		for range 4000 {
 			now = now.Add(time.Duration(rng.ExpFloat64() * float64(20*time.Millisecond)))
 			calls = append(calls, now)
-			w.Call(now)
+			w.RecordCall(now)
 			if w.Take(now) {
 				spent = append(spent, now)
 			}
--- a/policy/session/session.go
+++ b/policy/session/session.go
@@ -12,15 +12,15 @@
 	"github.com/cactusproxy/cactusproxy/declare"
 	"github.com/cactusproxy/cactusproxy/outcome"
 	"github.com/cactusproxy/cactusproxy/pick"
-	"github.com/cactusproxy/cactusproxy/policy/choice"
+	"github.com/cactusproxy/cactusproxy/policy/localpick"
 	"github.com/cactusproxy/cactusproxy/policy/grant"
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
 // Times of the protocol.
 const (
-	// TickEvery is how often Tick should run while an ask waits.
-	TickEvery = time.Millisecond
+	// TickInterval is how often Tick should run while an ask waits.
+	TickInterval = time.Millisecond
 	// patience is how long an ask may hear nothing from the coordinator before
 	// the host chooses by itself.
 	patience = 4 * time.Millisecond
@@ -32,7 +32,7 @@
 
 // Decision settles an ask.
 type Decision struct {
-	ID grant.CallID
+	ID grant.AttemptID
 	// Target is where the attempt goes, if Reason is empty.
 	Target blackboard.Target
 	Reason outcome.Reason
@@ -42,7 +42,7 @@
 
 // ask is an ask that waits.
 type ask struct {
-	id       grant.CallID
+	id       grant.AttemptID
 	req      pick.Request
 	since    time.Time
 	deadline time.Time // zero means none
@@ -64,12 +64,12 @@
 	zone     string
 	epoch    uint64
 	seq      uint64
-	nextID   grant.CallID
+	nextID   grant.AttemptID
 	maxQueue int
-	local    *choice.Local
+	local    *localpick.Local
 
 	waiting []ask // oldest first
-	open    map[grant.CallID]attempt
+	open    map[grant.AttemptID]attempt
 
 	coordinator ports.HostID // empty if there is none
 	silent      bool         // it does not answer: choose here
@@ -90,8 +90,8 @@
 	return &Session{
 		key:   key,
 		epoch: epoch,
-		local: choice.New(rng),
-		open:  make(map[grant.CallID]attempt),
+		local: localpick.New(rng),
+		open:  make(map[grant.AttemptID]attempt),
 	}
 }
 
@@ -138,10 +138,10 @@
 func (s *Session) Coordinated() bool { return !s.silent && s.coordinator != "" }
 
 // NextID returns the identity that the next Ask will have.
-func (s *Session) NextID() grant.CallID { return s.nextID + 1 }
+func (s *Session) NextID() grant.AttemptID { return s.nextID + 1 }
 
-// Ask takes a request for a target. Its decision comes from Take, now or later.
-func (s *Session) Ask(now time.Time, req pick.Request, deadline time.Time) grant.CallID {
+// Request takes a request for a target. Its decision comes from Take, now or later.
+func (s *Session) Request(now time.Time, req pick.Request, deadline time.Time) grant.AttemptID {
 	s.nextID++
 	id := s.nextID
 	a := ask{id: id, req: req, since: now, deadline: deadline, avoid: req.Avoid}
@@ -167,19 +167,19 @@
 		// Nothing was due from the coordinator until now.
 		s.heard = now
 	}
-	s.frame.Asks = append(s.frame.Asks, a.message(now))
+	s.frame.Requests = append(s.frame.Requests, a.message(now))
 	s.send = true
 }
 
-func (a *ask) message(now time.Time) grant.Ask {
-	m := grant.Ask{ID: a.id, Avoid: a.avoid, Hedge: a.req.Hedge, Alone: a.req.Alone}
+func (a *ask) message(now time.Time) grant.Request {
+	m := grant.Request{ID: a.id, Avoid: a.avoid, Hedge: a.req.Hedge, Exclusive: a.req.Alone}
 	if !a.deadline.IsZero() {
 		m.Remaining = max(a.deadline.Sub(now), 1)
 	}
 	return m
 }
 
-func (s *Session) refuse(id grant.CallID, r outcome.Reason) {
+func (s *Session) refuse(id grant.AttemptID, r outcome.Reason) {
 	s.decisions = append(s.decisions, Decision{ID: id, Reason: r})
 }
 
@@ -192,7 +192,7 @@
 
 // Cancel withdraws an ask that was not decided yet, or gives back a grant that
 // the caller no longer wants.
-func (s *Session) Cancel(now time.Time, id grant.CallID) {
+func (s *Session) Cancel(now time.Time, id grant.AttemptID) {
 	if i := s.find(id); i >= 0 {
 		s.waiting = slices.Delete(s.waiting, i, i+1)
 		s.giveBack(id)
@@ -206,32 +206,32 @@
 	}
 }
 
-func (s *Session) find(id grant.CallID) int {
+func (s *Session) find(id grant.AttemptID) int {
 	return slices.IndexFunc(s.waiting, func(a ask) bool { return a.id == id })
 }
 
 // giveBack tells the coordinator that an ask or a grant is not wanted.
-func (s *Session) giveBack(id grant.CallID) {
-	s.tellEnd(grant.End{ID: id, Class: grant.Returned, Load: -1})
+func (s *Session) giveBack(id grant.AttemptID) {
+	s.tellEnd(grant.Completion{ID: id, Class: grant.Unused, Load: -1})
 }
 
-func (s *Session) tellEnd(e grant.End) {
+func (s *Session) tellEnd(e grant.Completion) {
 	if !s.Coordinated() {
 		return
 	}
-	s.frame.Ends = append(s.frame.Ends, e)
+	s.frame.Completions = append(s.frame.Completions, e)
 	s.send = true
 }
 
 // End takes the report of an attempt.
-func (s *Session) End(now time.Time, id grant.CallID, r pick.Report) {
+func (s *Session) End(now time.Time, id grant.AttemptID, r pick.Report) {
 	a, ok := s.open[id]
 	if !ok {
 		return
 	}
 	delete(s.open, id)
 	s.local.End(now, a.target, a.alone, false, r)
-	s.tellEnd(grant.End{
+	s.tellEnd(grant.Completion{
 		ID:      id,
 		Class:   r.Class,
 		Latency: r.Latency,
@@ -241,8 +241,8 @@
 	s.serve(now)
 }
 
-// Told takes a message of a coordinator.
-func (s *Session) Told(now time.Time, from ports.HostID, t grant.Tell) {
+// HandleReply takes a message of a coordinator.
+func (s *Session) HandleReply(now time.Time, from ports.HostID, t grant.Reply) {
 	if t.Epoch != s.epoch || from != s.coordinator {
 		return // meant for an earlier run, or from a host that was coordinator
 	}
--- a/policy/session/session_test.go
+++ b/policy/session/session_test.go
@@ -23,21 +23,21 @@
 	s.Configure(&declare.Service{Slots: 1, MaxQueue: maxQueue})
 	s.SetTargets(noon, []blackboard.Target{{ID: "t0"}, {ID: "t1"}})
 	s.SetCoordinator(noon, "h0", true)
-	s.Take()
+	s.TakeOutput()
 	return s
 }
 
-func (s *Session) ask(now time.Time) grant.CallID { return s.Ask(now, pick.Request{}, time.Time{}) }
+func (s *Session) ask(now time.Time) grant.AttemptID { return s.Request(now, pick.Request{}, time.Time{}) }
 
 func TestHostAsksOnceAndWaits(t *testing.T) {
 	s := newSession(0)
 	id := s.ask(noon)
-	out := s.Take()
+	out := s.TakeOutput()
 	assert.Equal(t, string(out.To), "h0")
-	assert.Equal(t, out.Frame.Asks[0].ID, id)
+	assert.Equal(t, out.Frame.Requests[0].ID, id)
 	assert.Equal(t, len(out.Decisions), 0)
-	s.Told(noon, "h0", grant.Tell{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t1"}}})
-	d := s.Take().Decisions[0]
+	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t1"}}})
+	d := s.TakeOutput().Decisions[0]
 	assert.Equal(t, string(d.Target.ID), "t1")
 	assert.Check(t, !d.Local)
 }
@@ -47,12 +47,12 @@
 func TestSilentCoordinatorIsTriedLessAndLess(t *testing.T) {
 	s := newSession(0)
 	s.ask(noon)
-	s.Take()
+	s.TakeOutput()
 	knocks := 0
 	decided := time.Duration(0)
-	for d := time.Duration(0); d < 2*time.Second; d += TickEvery {
+	for d := time.Duration(0); d < 2*time.Second; d += TickInterval {
 		s.Tick(noon.Add(d))
-		out := s.Take()
+		out := s.TakeOutput()
 		if out.To != "" {
 			knocks++
 		}
@@ -68,38 +68,38 @@
 	s := newSession(0)
 	id := s.ask(noon)
 	s.Cancel(noon, id)
-	s.Take()
-	s.Told(noon, "h0", grant.Tell{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}})
-	out := s.Take()
-	assert.Equal(t, out.Frame.Ends[0].ID, id)
-	assert.Equal(t, out.Frame.Ends[0].Class, grant.Returned)
+	s.TakeOutput()
+	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}})
+	out := s.TakeOutput()
+	assert.Equal(t, out.Frame.Completions[0].ID, id)
+	assert.Equal(t, out.Frame.Completions[0].Class, grant.Unused)
 }
 
 func TestWordOfAFormerCoordinatorCountsForNothing(t *testing.T) {
 	s := newSession(0)
 	id := s.ask(noon)
 	s.SetCoordinator(noon, "h1", true)
-	out := s.Take()
+	out := s.TakeOutput()
 	assert.Equal(t, string(out.To), "h1")
 	assert.Check(t, out.Frame.Full)
-	assert.Equal(t, out.Frame.Asks[0].ID, id, "the new one learns of the ask")
-	s.Told(noon, "h0", grant.Tell{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}})
-	assert.Equal(t, len(s.Take().Decisions), 0)
+	assert.Equal(t, out.Frame.Requests[0].ID, id, "the new one learns of the ask")
+	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}})
+	assert.Equal(t, len(s.TakeOutput().Decisions), 0)
 }
 
 func TestDeclineAndHopelessAsksAreSettledAtOnce(t *testing.T) {
 	s := newSession(2)
 	s.ask(noon)
-	s.Told(noon, "h0", grant.Tell{Epoch: epoch, Decline: true})
-	assert.Check(t, s.Take().Decisions[0].Local)
-	s.Ask(noon, pick.Request{}, noon.Add(-time.Second))
-	assert.Equal(t, s.Take().Decisions[0].Reason, outcome.ReasonDeadline)
+	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Decline: true})
+	assert.Check(t, s.TakeOutput().Decisions[0].Local)
+	s.Request(noon, pick.Request{}, noon.Add(-time.Second))
+	assert.Equal(t, s.TakeOutput().Decisions[0].Reason, outcome.ReasonDeadline)
 	for range 3 { // one more takes the last slot, two wait
 		s.ask(noon)
 	}
-	s.Take()
+	s.TakeOutput()
 	s.ask(noon)
-	assert.Equal(t, s.Take().Decisions[0].Reason, outcome.ReasonQueueFull)
+	assert.Equal(t, s.TakeOutput().Decisions[0].Reason, outcome.ReasonQueueFull)
 }
 
 // The coordinator's list lags: it knows only a target that this host knows to
@@ -109,14 +109,14 @@
 	s := newSession(0)
 	s.SetTargets(noon, []blackboard.Target{{ID: "t0", Leaving: true}, {ID: "t1"}})
 	id := s.ask(noon)
-	s.Take()
-	tell := grant.Tell{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}}
-	s.Told(noon, "h0", tell)
-	out := s.Take()
+	s.TakeOutput()
+	tell := grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}}
+	s.HandleReply(noon, "h0", tell)
+	out := s.TakeOutput()
 	assert.Equal(t, len(out.Decisions), 0)
-	assert.Equal(t, out.Frame.Asks[0].ID, id)
-	s.Told(noon, "h0", tell)
-	d := s.Take().Decisions
+	assert.Equal(t, out.Frame.Requests[0].ID, id)
+	s.HandleReply(noon, "h0", tell)
+	d := s.TakeOutput().Decisions
 	assert.Equal(t, len(d), 1)
 	assert.Equal(t, string(d[0].Target.ID), "t1")
 }
--- a/policy/session/tick.go
+++ b/policy/session/tick.go
@@ -17,9 +17,9 @@
 func (s *Session) Next() time.Duration {
 	switch {
 	case len(s.waiting) > 0:
-		return TickEvery
+		return TickInterval
 	case len(s.open) > 0 && s.silent:
-		return TickEvery
+		return TickInterval
 	case len(s.open) > 0:
 		return openTick
 	default:
@@ -33,7 +33,7 @@
 	s.expire(now)
 	s.watchCoordinator(now)
 	if s.Coordinated() {
-		if s.busy() && now.Sub(s.lastFull) >= grant.HeartbeatEvery {
+		if s.busy() && now.Sub(s.lastFull) >= grant.HeartbeatInterval {
 			s.fullFrame(now)
 		}
 		return
@@ -107,9 +107,9 @@
 	}
 }
 
-// Overdue takes another host's notice that attempts on these targets are
+// MarkOverdue takes another host's notice that attempts on these targets are
 // overdue.
-func (s *Session) Overdue(now time.Time, ids []ports.HostID) {
+func (s *Session) MarkOverdue(now time.Time, ids []ports.HostID) {
 	for _, id := range ids {
 		s.local.Overdue(now, id)
 	}
@@ -121,7 +121,7 @@
 	if s.serveOne(now, a) {
 		return
 	}
-	needs := s.local.Latency().Needs(s.expectedWait())
+	needs := s.local.Latency().RequiredTime(s.expectedWait())
 	if !a.deadline.IsZero() && now.Add(needs).After(a.deadline) {
 		s.refuse(a.id, outcome.ReasonDeadline)
 		return
@@ -142,15 +142,15 @@
 	s.send = true
 	s.frame.Full = true
 	s.frame.Zone = s.zone
-	s.frame.Asks = s.frame.Asks[:0]
-	s.frame.Open = s.frame.Open[:0]
+	s.frame.Requests = s.frame.Requests[:0]
+	s.frame.InFlight = s.frame.InFlight[:0]
 	for i := range s.waiting {
-		s.frame.Asks = append(s.frame.Asks, s.waiting[i].message(now))
+		s.frame.Requests = append(s.frame.Requests, s.waiting[i].message(now))
 	}
 	for _, id := range s.sortedOpen() {
 		a := s.open[id]
-		s.frame.Open = append(s.frame.Open, grant.Open{
-			ID: id, Target: a.target, Age: now.Sub(a.since), Alone: a.alone,
+		s.frame.InFlight = append(s.frame.InFlight, grant.OpenAttempt{
+			ID: id, Target: a.target, Age: now.Sub(a.since), Exclusive: a.alone,
 		})
 	}
 }
@@ -165,8 +165,8 @@
 	Overdue []ports.HostID
 }
 
-// Take returns what is to be done and forgets it.
-func (s *Session) Take() Output {
+// TakeOutput returns what is to be done and forgets it.
+func (s *Session) TakeOutput() Output {
 	out := Output{Decisions: s.decisions, Overdue: s.overdue}
 	s.decisions = nil
 	s.overdue = nil
@@ -185,11 +185,11 @@
 }
 
 // sortedOpen returns the attempts in flight, oldest first.
-func (s *Session) sortedOpen() []grant.CallID {
-	ids := make([]grant.CallID, 0, len(s.open))
+func (s *Session) sortedOpen() []grant.AttemptID {
+	ids := make([]grant.AttemptID, 0, len(s.open))
 	for id := range s.open {
 		ids = append(ids, id)
 	}
-	slices.SortFunc(ids, func(a, b grant.CallID) int { return cmp.Compare(a, b) })
+	slices.SortFunc(ids, func(a, b grant.AttemptID) int { return cmp.Compare(a, b) })
 	return ids
 }
--- a/policy/sizes/sizes.go
+++ b/policy/sizes/sizes.go
@@ -14,16 +14,16 @@
 	steady = 20
 )
 
-// Usual is the usual size of answers. The zero value knows nothing. It is safe for
+// Estimator is the usual size of answers. The zero value knows nothing. It is safe for
 // concurrent use.
-type Usual struct {
+type Estimator struct {
 	mu    sync.Mutex
 	seen  int
 	bytes float64
 }
 
 // Bytes returns the usual size in bytes.
-func (u *Usual) Bytes() float64 {
+func (u *Estimator) Bytes() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.seen == 0 {
@@ -32,8 +32,8 @@
 	return u.bytes
 }
 
-// Learn takes in the size of an answer in bytes; -1 if it is not known.
-func (u *Usual) Learn(n int64) {
+// Observe takes in the size of an answer in bytes; -1 if it is not known.
+func (u *Estimator) Observe(n int64) {
 	if n < 0 {
 		return
 	}
--- a/policy/sizes/sizes_test.go
+++ b/policy/sizes/sizes_test.go
@@ -9,18 +9,18 @@
 // The first few answers count at once, one odd answer later does not turn it over, and
 // what is not known is passed over.
 func TestUsualSize(t *testing.T) {
-	var u Usual
+	var u Estimator
 	assert.Equal(t, u.Bytes(), float64(first))
-	u.Learn(-1)
+	u.Observe(-1)
 	assert.Equal(t, u.Bytes(), float64(first))
 	for range 3 {
-		u.Learn(90_000)
+		u.Observe(90_000)
 	}
 	assert.Equal(t, u.Bytes(), 90_000.0)
 	for range 100 {
-		u.Learn(400)
+		u.Observe(400)
 	}
 	assert.Check(t, u.Bytes() < 1000)
-	u.Learn(90_000)
+	u.Observe(90_000)
 	assert.Check(t, u.Bytes() < 6000)
 }
--- a/policy/suspicion/record.go
+++ b/policy/suspicion/record.go
@@ -14,16 +14,16 @@
 	State  State  `msgpack:"s"`
 	// Age is how long the state has held, Quiet how long ago it was sent.
 	Age    time.Duration `msgpack:"a"`
-	Quiet  time.Duration `msgpack:"q"`
+	SinceSent  time.Duration `msgpack:"q"`
 	Losses []LossRecord  `msgpack:"l"`
-	// Good tells that some host remembers a whole answer to the request.
-	Good bool `msgpack:"g"`
+	// KnownGood tells that some host remembers a whole answer to the request.
+	KnownGood bool `msgpack:"g"`
 }
 
 // LossRecord is a Loss as it is told.
 type LossRecord struct {
 	Target ports.RunID   `msgpack:"t"`
-	Ago    time.Duration `msgpack:"a"`
+	Age    time.Duration `msgpack:"a"`
 	Trial  bool          `msgpack:"r"`
 }
 
@@ -33,9 +33,9 @@
 		return Record{}, false
 	}
 	e := b.entries[d]
-	r := Record{Digest: d, State: e.state, Age: now.Sub(e.since), Quiet: now.Sub(e.sent), Good: e.good}
+	r := Record{Digest: d, State: e.state, Age: now.Sub(e.since), SinceSent: now.Sub(e.sent), KnownGood: e.good}
 	for _, l := range e.losses {
-		r.Losses = append(r.Losses, LossRecord{Target: l.Target, Ago: now.Sub(l.At), Trial: l.Trial})
+		r.Losses = append(r.Losses, LossRecord{Target: l.Target, Age: now.Sub(l.At), Trial: l.Trial})
 	}
 	return r, true
 }
@@ -45,7 +45,7 @@
 	if r.State != Suspect && r.State != Quarantined {
 		return false
 	}
-	return r.Age >= 0 && r.Quiet >= 0 && len(r.Losses) > 0 && len(r.Losses) <= maxLosses
+	return r.Age >= 0 && r.SinceSent >= 0 && len(r.Losses) > 0 && len(r.Losses) <= maxLosses
 }
 
 // Merge takes in what another host told, and reports whether that host is behind:
@@ -59,8 +59,8 @@
 		return true
 	}
 	e := b.ensure(r.Digest, now)
-	e.good = e.good || r.Good || knownGood
-	if at := now.Add(-r.Quiet); e.sent.Before(at) {
+	e.good = e.good || r.KnownGood || knownGood
+	if at := now.Add(-r.SinceSent); e.sent.Before(at) {
 		e.sent = at
 	}
 	fresh := b.mergeLosses(now, e, r.Losses)
@@ -70,16 +70,16 @@
 	}
 	if e.state == Suspect && b.blamed(e) && (fresh || r.State == Quarantined) {
 		b.accuse(r.Digest, e, now.Add(-age))
-		e.settled = age >= b.limits.Settle
+		e.settled = age >= b.limits.SettleTime
 	}
 	return false
 }
 
 // newest returns the age of the newest loss.
 func (r Record) newest() time.Duration {
-	age := r.Losses[0].Ago
+	age := r.Losses[0].Age
 	for _, l := range r.Losses {
-		age = min(age, l.Ago)
+		age = min(age, l.Age)
 	}
 	return max(0, age)
 }
@@ -90,21 +90,21 @@
 func (b *Tracker) mergeLosses(now time.Time, e *entry, told []LossRecord) bool {
 	fresh := false
 	for _, t := range told {
-		l := Loss{Target: t.Target, At: now.Add(-max(0, t.Ago)), Trial: t.Trial}
-		recent := now.Sub(l.At) < b.limits.Wave
+		l := Loss{Target: t.Target, At: now.Add(-max(0, t.Age)), Trial: t.Trial}
+		recent := now.Sub(l.At) < b.limits.LossWindow
 		if recent {
 			b.noteLoss(now, l)
 		}
-		if e.add(l, b.limits.Wave) && recent {
+		if e.add(l, b.limits.LossWindow) && recent {
 			fresh = true
 		}
 	}
 	return fresh
 }
 
-// Fresh reports whether a record was changed by something that happened since age
+// ChangedWithin reports whether a record was changed by something that happened since age
 // ago.
-func (r Record) Fresh(age time.Duration) bool {
+func (r Record) ChangedWithin(age time.Duration) bool {
 	return r.newest() <= age || r.State == Quarantined && r.Age <= age
 }
 
--- a/policy/suspicion/suspicion.go
+++ b/policy/suspicion/suspicion.go
@@ -47,27 +47,27 @@
 
 // Limits are the times and sizes of the decisions.
 type Limits struct {
-	// Wave is the time within which losses are taken for one event: of one
+	// LossWindow is the time within which losses are taken for one event: of one
 	// target, as many broken connections of one crash; of several targets, as a
 	// failure of zones or hosts that no request caused.
-	Wave time.Duration
-	// MassLoss is the number of targets lost in the same wave that no quarantined
+	LossWindow time.Duration
+	// MassLossTargets is the number of targets lost in the same wave that no quarantined
 	// request ran on, from which on a request is not held to be the cause.
-	MassLoss int
-	// Settle is how long a request is held, neither run nor refused, before its
+	MassLossTargets int
+	// SettleTime is how long a request is held, neither run nor refused, before its
 	// quarantine is decided on; it is less than Wave.
-	Settle time.Duration
-	// SuspectFor is how long a suspect that is not sent again stays one.
-	SuspectFor time.Duration
-	// QuietFor is how long a quarantined request must not be sent until it is
+	SettleTime time.Duration
+	// SuspectTTL is how long a suspect that is not sent again stays one.
+	SuspectTTL time.Duration
+	// ReleaseAfterIdle is how long a quarantined request must not be sent until it is
 	// tried alone again.
-	QuietFor time.Duration
-	// QuarantineMax is how long a request that is sent on and on is refused
+	ReleaseAfterIdle time.Duration
+	// MaxQuarantine is how long a request that is sent on and on is refused
 	// until it is tried alone again.
-	QuarantineMax time.Duration
-	// TrialFor is how long one trial keeps others away, should its end never
+	MaxQuarantine time.Duration
+	// TrialTimeout is how long one trial keeps others away, should its end never
 	// be heard of. It has to be longer than the calls that matter.
-	TrialFor time.Duration
+	TrialTimeout time.Duration
 	// MaxEntries bounds the requests remembered; the longest unchanged suspects
 	// are forgotten first.
 	MaxEntries int
@@ -76,13 +76,13 @@
 // DefaultLimits returns the limits in common use.
 func DefaultLimits() Limits {
 	return Limits{
-		Wave:          time.Second,
-		MassLoss:      1,
-		Settle:        250 * time.Millisecond,
-		SuspectFor:    10 * time.Minute,
-		QuietFor:      10 * time.Minute,
-		QuarantineMax: 24 * time.Hour,
-		TrialFor:      time.Minute,
+		LossWindow:          time.Second,
+		MassLossTargets:      1,
+		SettleTime:        250 * time.Millisecond,
+		SuspectTTL:    10 * time.Minute,
+		ReleaseAfterIdle:      10 * time.Minute,
+		MaxQuarantine: 24 * time.Hour,
+		TrialTimeout:      time.Minute,
 		MaxEntries:    4096,
 	}
 }
@@ -95,8 +95,8 @@
 	Trial bool
 }
 
-// Run is one run that broke off.
-type Run struct {
+// BrokenRun is one run that broke off.
+type BrokenRun struct {
 	Digest Digest
 	Loss
 	// KnownGood tells that an earlier run of the request ended with a whole
--- a/policy/suspicion/suspicion_test.go
+++ b/policy/suspicion/suspicion_test.go
@@ -15,7 +15,7 @@
 
 // lose feeds the tracker with a break-off at this moment.
 func lose(b *Tracker, when time.Duration, d Digest, target ports.RunID, trial bool) State {
-	return b.BrokeOff(at(when), Run{Digest: d, Loss: Loss{Target: target, At: at(when), Trial: trial}})
+	return b.RecordBrokenRun(at(when), BrokenRun{Digest: d, Loss: Loss{Target: target, At: at(when), Trial: trial}})
 }
 
 func small() Limits {
@@ -30,12 +30,12 @@
 	b := NewTracker(DefaultLimits())
 	assert.Equal(t, lose(b, 0, 1, "t1", false), Suspect)
 	assert.Equal(t, lose(b, time.Millisecond, 1, "t1", false), Suspect)
-	assert.Equal(t, b.Ask(at(time.Second), 1, "h1/1"), Alone)
-	assert.Equal(t, b.Ask(at(time.Second), 1, "h2/1"), Busy)
+	assert.Equal(t, b.Admit(at(time.Second), 1, "h1/1"), Exclusive)
+	assert.Equal(t, b.Admit(at(time.Second), 1, "h2/1"), Busy)
 	assert.Equal(t, lose(b, 2*time.Second, 1, "t2", true), Quarantined)
 	b.EndTrial(1, "h1/1")
-	assert.Equal(t, b.Ask(at(2*time.Second), 1, "h2/2"), Busy)
-	assert.Equal(t, b.Ask(at(3*time.Second), 1, "h2/3"), Refused)
+	assert.Equal(t, b.Admit(at(2*time.Second), 1, "h2/2"), Busy)
+	assert.Equal(t, b.Admit(at(3*time.Second), 1, "h2/3"), Refused)
 }
 
 func TestAnswerClearsAtOnce(t *testing.T) {
@@ -44,8 +44,8 @@
 	r, ok := b.Record(at(0), 1)
 	assert.Check(t, ok)
 	assert.Check(t, b.Clear(at(time.Millisecond), 1))
-	assert.Equal(t, b.Ask(at(time.Second), 1, "h1/1"), Free)
-	r.Losses[0].Ago = time.Second
+	assert.Equal(t, b.Admit(at(time.Second), 1, "h1/1"), Unrestricted)
+	r.Losses[0].Age = time.Second
 	assert.Check(t, b.Merge(at(time.Second), r, false), "old word of a cleared request was taken in")
 	assert.Equal(t, b.State(at(time.Second), 1), Clean)
 }
@@ -78,8 +78,8 @@
 	b := NewTracker(DefaultLimits())
 	for _, target := range []ports.RunID{"t1", "t2"} {
 		loss := Loss{Target: target, At: at(0)}
-		b.BrokeOff(at(0), Run{Digest: 1, Loss: loss, KnownGood: true})
-		b.BrokeOff(at(0), Run{Digest: 2, Loss: loss})
+		b.RecordBrokenRun(at(0), BrokenRun{Digest: 1, Loss: loss, KnownGood: true})
+		b.RecordBrokenRun(at(0), BrokenRun{Digest: 2, Loss: loss})
 	}
 	assert.Equal(t, b.State(at(0), 1), Suspect)
 	assert.Equal(t, b.State(at(0), 2), Quarantined)
@@ -101,7 +101,7 @@
 	b := NewTracker(DefaultLimits())
 	for i, target := range []ports.RunID{"t1", "t2", "t3"} {
 		loss := Loss{Target: target, At: at(0), Trial: i == 2}
-		b.BrokeOff(at(0), Run{Digest: 1, Loss: loss, KnownGood: true})
+		b.RecordBrokenRun(at(0), BrokenRun{Digest: 1, Loss: loss, KnownGood: true})
 	}
 	lose(b, 0, 2, "t4", false)
 	lose(b, 0, 2, "t5", true)
@@ -132,14 +132,14 @@
 	lose(b, 0, 1, "t1", false)
 	lose(b, time.Second, 1, "t2", true)
 	for m := time.Duration(0); m < 9; m++ {
-		assert.Equal(t, b.Sent(at(m*5*time.Minute), 1), Quarantined)
+		assert.Equal(t, b.RecordSent(at(m*5*time.Minute), 1), Quarantined)
 	}
-	quiet := 40*time.Minute + l.QuietFor
+	quiet := 40*time.Minute + l.ReleaseAfterIdle
 	assert.Equal(t, b.State(at(quiet-1), 1), Quarantined)
 	assert.Equal(t, b.State(at(quiet), 1), Suspect)
 	assert.Equal(t, lose(b, quiet, 1, "t3", true), Quarantined)
-	assert.Equal(t, b.State(at(quiet+l.QuietFor), 1), Suspect)
-	assert.Equal(t, b.State(at(quiet+l.QuietFor+l.SuspectFor), 1), Clean)
+	assert.Equal(t, b.State(at(quiet+l.ReleaseAfterIdle), 1), Suspect)
+	assert.Equal(t, b.State(at(quiet+l.ReleaseAfterIdle+l.SuspectTTL), 1), Clean)
 }
 
 func TestMemoryIsBounded(t *testing.T) {
@@ -159,7 +159,7 @@
 		{Digest: 1},
 		{Digest: 1, State: Suspect},
 		{Digest: 1, State: 9, Losses: []LossRecord{{Target: "t"}}},
-		{Digest: 1, State: Quarantined, Quiet: -1, Losses: []LossRecord{{Target: "t"}}},
+		{Digest: 1, State: Quarantined, SinceSent: -1, Losses: []LossRecord{{Target: "t"}}},
 		{Digest: 1, State: Suspect, Losses: make([]LossRecord, maxLosses+1)},
 	} {
 		b.Merge(at(0), r, false)
--- a/policy/suspicion/tracker.go
+++ b/policy/suspicion/tracker.go
@@ -26,10 +26,10 @@
 // sends a suspect to a target that runs nothing else.
 const leastLosses = 2
 
-// Need sets how many targets a request must have been lost with to be held for the
+// SetMinLosses sets how many targets a request must have been lost with to be held for the
 // cause without a trial, 2 or more. Where not every host hears of a suspect, an
 // innocent request may run beside a guilty one twice.
-func (b *Tracker) Need(losses int) { b.need = max(losses, leastLosses) }
+func (b *Tracker) SetMinLosses(losses int) { b.need = max(losses, leastLosses) }
 
 // NewTracker returns an empty tracker.
 func NewTracker(l Limits) *Tracker {
@@ -55,13 +55,13 @@
 	}
 	switch e.state {
 	case Suspect:
-		if now.Sub(e.sent) >= b.limits.SuspectFor {
+		if now.Sub(e.sent) >= b.limits.SuspectTTL {
 			delete(b.entries, d)
 			return Clean
 		}
 	case Quarantined:
 		b.settle(now, e)
-		if now.Sub(e.sent) >= b.limits.QuietFor || now.Sub(e.since) >= b.limits.QuarantineMax {
+		if now.Sub(e.sent) >= b.limits.ReleaseAfterIdle || now.Sub(e.since) >= b.limits.MaxQuarantine {
 			b.release(e, now)
 		}
 	}
@@ -78,10 +78,10 @@
 // Targets of a zone that die milliseconds apart make a request that was sent again look as if it
 // crashed two. Once the moment has passed, the other losses are known.
 func (b *Tracker) settle(now time.Time, e *entry) {
-	if e.settled || now.Sub(e.since) < b.limits.Settle {
+	if e.settled || now.Sub(e.since) < b.limits.SettleTime {
 		return
 	}
-	if !b.blamed(e) || b.unexplained(e) >= b.limits.MassLoss || b.accusedWith(e) > maxAccused {
+	if !b.blamed(e) || b.unexplained(e) >= b.limits.MassLossTargets || b.accusedWith(e) > maxAccused {
 		e.setState(Suspect, now)
 		e.excused = now
 		return
@@ -99,8 +99,8 @@
 	e.sent = now
 }
 
-// Sent notes that a request came again, and returns its state.
-func (b *Tracker) Sent(now time.Time, d Digest) State {
+// RecordSent notes that a request came again, and returns its state.
+func (b *Tracker) RecordSent(now time.Time, d Digest) State {
 	s := b.State(now, d)
 	if e := b.entries[d]; e != nil {
 		e.sent = now
@@ -108,13 +108,13 @@
 	return s
 }
 
-// BrokeOff takes in a run that broke off and returns the request's state.
-func (b *Tracker) BrokeOff(now time.Time, r Run) State {
+// RecordBrokenRun takes in a run that broke off and returns the request's state.
+func (b *Tracker) RecordBrokenRun(now time.Time, r BrokenRun) State {
 	b.noteLoss(now, r.Loss)
 	e := b.ensure(r.Digest, now)
 	e.sent = now
 	e.good = e.good || r.KnownGood
-	if e.add(r.Loss, b.limits.Wave) && b.blamed(e) {
+	if e.add(r.Loss, b.limits.LossWindow) && b.blamed(e) {
 		b.accuse(r.Digest, e, now)
 	}
 	return e.state
@@ -124,15 +124,15 @@
 func (b *Tracker) accuse(d Digest, e *entry, at time.Time) {
 	e.setState(Quarantined, at)
 	for old, t := range b.accused {
-		if at.Sub(t) >= 2*b.limits.Wave {
+		if at.Sub(t) >= 2*b.limits.LossWindow {
 			delete(b.accused, old)
 		}
 	}
 	b.accused[d] = at
 }
 
-// Lost takes in that a target can not be reached any more, whatever ran on it.
-func (b *Tracker) Lost(now time.Time, target ports.RunID) {
+// RecordLostTarget takes in that a target can not be reached any more, whatever ran on it.
+func (b *Tracker) RecordLostTarget(now time.Time, target ports.RunID) {
 	b.noteLoss(now, Loss{Target: target, At: now})
 }
 
@@ -156,7 +156,7 @@
 // first.
 func (b *Tracker) unexplained(e *entry) int {
 	counts := func(l Loss) bool {
-		return apart(l.At, e.since) < b.limits.Wave && l.At.After(e.excused)
+		return apart(l.At, e.since) < b.limits.LossWindow && l.At.After(e.excused)
 	}
 	n := 0
 	if e.good {
@@ -179,7 +179,7 @@
 func (b *Tracker) accusedWith(e *entry) int {
 	n := 0
 	for _, at := range b.accused {
-		if apart(at, e.since) < b.limits.Wave && at.After(e.excused) {
+		if apart(at, e.since) < b.limits.LossWindow && at.After(e.excused) {
 			n++
 		}
 	}
@@ -197,7 +197,7 @@
 
 func (b *Tracker) noteLoss(now time.Time, l Loss) {
 	for id, old := range b.losses {
-		if now.Sub(old.At) >= 2*b.limits.Wave {
+		if now.Sub(old.At) >= 2*b.limits.LossWindow {
 			delete(b.losses, id)
 		}
 	}
@@ -227,7 +227,7 @@
 		b.State(now, d)
 	}
 	for d, at := range b.cleared {
-		if now.Sub(at) >= b.limits.SuspectFor {
+		if now.Sub(at) >= b.limits.SuspectTTL {
 			delete(b.cleared, d)
 		}
 	}
--- a/policy/suspicion/trial.go
+++ b/policy/suspicion/trial.go
@@ -6,14 +6,14 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Answer tells a host whether it may run a request.
-type Answer uint8
+// Admission tells a host whether it may run a request.
+type Admission uint8
 
 const (
-	// Free requests are not suspected: run them like any other.
-	Free Answer = iota + 1
-	// Alone gives the one permission to try a suspect.
-	Alone
+	// Unrestricted requests are not suspected: run them like any other.
+	Unrestricted Admission = iota + 1
+	// Exclusive gives the one permission to try a suspect.
+	Exclusive
 	// Busy means that another trial is under way, or that its verdict has yet
 	// to settle; ask again.
 	Busy
@@ -21,12 +21,12 @@
 	Refused
 )
 
-// Ask asks to run a request. One host keeps the trials of a request, so that
+// Admit asks to run a request. One host keeps the trials of a request, so that
 // two hosts do not lose two targets to it at the same moment.
-func (b *Tracker) Ask(now time.Time, d Digest, holder ports.HostID) Answer {
-	switch b.Sent(now, d) {
+func (b *Tracker) Admit(now time.Time, d Digest, holder ports.HostID) Admission {
+	switch b.RecordSent(now, d) {
 	case Clean:
-		return Free
+		return Unrestricted
 	case Quarantined:
 		if b.Settled(now, d) {
 			return Refused
@@ -37,8 +37,8 @@
 	if e.trial.holder != "" && now.Before(e.trial.until) {
 		return Busy
 	}
-	e.trial = trial{holder: holder, until: now.Add(b.limits.TrialFor)}
-	return Alone
+	e.trial = trial{holder: holder, until: now.Add(b.limits.TrialTimeout)}
+	return Exclusive
 }
 
 // EndTrial gives the permission back. The request may be tried again unless
--- a/policy/waited/waited.go
+++ b/policy/waittime/waited.go
@@ -2,7 +2,7 @@
 // arrives. A caller that comes again, after a refusal or a host that was gone, says only
 // how much of its time is left. Under more calls than the targets can run, an answer in
 // time for one that has just asked is worth more than a late one for each of both.
-package waited
+package waittime
 
 import (
 	"sync"
@@ -20,22 +20,22 @@
 	maxCount = 64
 )
 
-// Patience learns with how much time left callers usually begin. The zero value knows
+// Estimator learns with how much time left callers usually begin. The zero value knows
 // nothing. It is safe for concurrent use.
-type Patience struct {
+type Estimator struct {
 	mu    sync.Mutex
 	left  [kept]time.Duration
 	count [kept]int
 }
 
-// Waited takes in how much time a caller has left and returns how long it has been
+// Estimate takes in how much time a caller has left and returns how long it has been
 // waiting: 0 if many callers say the same, otherwise what it lacks to the next longer
 // time that many callers say.
 //
 // One that came again is thereby reckoned with less time until its objective, so that it
 // gets a slot that is free but does not queue before callers that can still be answered in
 // time.
-func (p *Patience) Waited(left time.Duration) time.Duration {
+func (p *Estimator) Estimate(left time.Duration) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.learn(left) {
@@ -54,7 +54,7 @@
 }
 
 // learn counts a value and reports whether it is a usual one.
-func (p *Patience) learn(left time.Duration) bool {
+func (p *Estimator) learn(left time.Duration) bool {
 	free := -1
 	for i := range p.left {
 		if p.count[i] > 0 && p.left[i] == left {
--- a/policy/watchers/leftout_test.go
+++ b/policy/watchers/leftout_test.go
@@ -14,16 +14,16 @@
 func TestLeftOutWhileMostAreReached(t *testing.T) {
 	all := hosts(10)
 	for away, want := range []int{0, 1, 2, 3, 4, 0, 0, 0, 0, 0} {
-		lost := LeftOut(all[9], all, func(id ports.HostID) time.Duration {
+		lost := HostsToRemove(all[9], all, func(id ports.HostID) time.Duration {
 			for i := range away {
 				if id == all[i] {
-					return LeftOutAfter
+					return RemoveAfter
 				}
 			}
 			return 0
 		})
 		assert.Equal(t, len(lost), want, "%d away", away)
 	}
-	short := func(ports.HostID) time.Duration { return LeftOutAfter - time.Second }
-	assert.Equal(t, len(LeftOut(all[9], all[7:], short)), 0)
+	short := func(ports.HostID) time.Duration { return RemoveAfter - time.Second }
+	assert.Equal(t, len(HostsToRemove(all[9], all[7:], short)), 0)
 }
--- a/policy/watchers/spread.go
+++ b/policy/watchers/spread.go
@@ -11,7 +11,7 @@
 	fanOut = 4
 )
 
-// Spread divides the hosts that are to get a change of some size, in bytes, into groups:
+// RelayGroups divides the hosts that are to get a change of some size, in bytes, into groups:
 // the first of each gets it, and passes it on to the others of its group in the same way.
 // It returns nil if the sender does better to send to each host itself.
 //
@@ -19,7 +19,7 @@
 // the logarithm of their number and not with the number, and so does the most that one
 // link carries. A host that is lost on the way leaves its group without the change, until
 // the next heartbeat shows it.
-func Spread(ids []ports.HostID, size int) [][]ports.HostID {
+func RelayGroups(ids []ports.HostID, size int) [][]ports.HostID {
 	if len(ids) <= fanOut || len(ids)*size <= flatBytes {
 		return nil
 	}
--- a/policy/watchers/spread_test.go
+++ b/policy/watchers/spread_test.go
@@ -12,7 +12,7 @@
 // steps it took, and the most copies that one host sent.
 func reach(ids []ports.HostID, size int) (got map[ports.HostID]int, depth, copies int) {
 	got = make(map[ports.HostID]int)
-	groups := Spread(ids, size)
+	groups := RelayGroups(ids, size)
 	if groups == nil {
 		for _, id := range ids {
 			got[id]++
--- a/policy/watchers/turns.go
+++ b/policy/watchers/turns.go
@@ -26,8 +26,8 @@
 	outageStagger = 400 * time.Millisecond
 )
 
-// First reports whether a host has its turn before all of the others.
-func First(self ports.HostID, others []ports.HostID) bool { return Rank(self, others) == 0 }
+// IsFirst reports whether a host has its turn before all of the others.
+func IsFirst(self ports.HostID, others []ports.HostID) bool { return Rank(self, others) == 0 }
 
 // Rank is how many of the others have their turn before a host.
 func Rank(self ports.HostID, others []ports.HostID) int {
@@ -64,8 +64,8 @@
 // every host would keep connections to every other of its zone.
 const relayChoice = 3
 
-// Relays orders the hosts of an availability zone by who is to pass a change on there.
-func Relays(rng *rand.Rand, hosts []ports.HostID) []ports.HostID {
+// RelayOrder orders the hosts of an availability zone by who is to pass a change on there.
+func RelayOrder(rng *rand.Rand, hosts []ports.HostID) []ports.HostID {
 	slices.SortFunc(hosts, func(a, b ports.HostID) int {
 		if before(a, b) {
 			return -1
--- a/policy/watchers/watchers.go
+++ b/policy/watchers/watchers.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// Wanted is how many hosts watch: with one, its silence would cost all hosts
+	// WantedWatchers is how many hosts watch: with one, its silence would cost all hosts
 	// the time to notice it.
-	Wanted = 2
+	WantedWatchers = 2
 	// outageTries is how many hosts must have tried the store in vain before it counts as
 	// out for all, refusedFor how long such a try counts. With 60% of all hosts turned
 	// away ten in a row are met once in 165 times.
@@ -41,29 +41,29 @@
 // NewDecider returns a decider of a host.
 func NewDecider(self ports.HostID) *Decider { return &Decider{self: self} }
 
-// Defer has the host let others go first until a moment, as at a start: seeds are
+// DeferUntil has the host let others go first until a moment, as at a start: seeds are
 // up by then if anybody is.
-func (d *Decider) Defer(until time.Time) { d.deferredTo = until }
+func (d *Decider) DeferUntil(until time.Time) { d.deferredTo = until }
 
 // View is what a decision rests on.
 type View struct {
 	// Hosts are all entry hosts known, this one included.
 	Hosts []ports.HostID
-	// Beats are the last heartbeats of others that watch.
-	Beats map[ports.HostID]Beat
+	// Heartbeats are the last heartbeats of others that watch.
+	Heartbeats map[ports.HostID]Heartbeat
 	// Watching is set if this host watches, StoreOK if the store serves it.
 	Watching bool
 	StoreOK  bool
-	// Refused is when hosts last tried to take over and the store did not serve them,
+	// FailedTakeovers is when hosts last tried to take over and the store did not serve them,
 	// without those who did so before it last answered any host.
-	Refused map[ports.HostID]time.Time
+	FailedTakeovers map[ports.HostID]time.Time
 }
 
 // outage reports whether the store seems to be out for all hosts: of late it failed as
 // many that tried as would hardly be found by chance if it served the others.
 func (v View) outage(now time.Time) bool {
 	failed := 0
-	for _, at := range v.Refused {
+	for _, at := range v.FailedTakeovers {
 		if now.Sub(at) < refusedFor {
 			failed++
 		}
@@ -74,12 +74,12 @@
 // Decide reports whether this host should watch now, and when to ask again at
 // the latest.
 func (d *Decider) Decide(now time.Time, v View) (watch bool, next time.Time) {
-	fresh, expiry := freshWatchers(now, v.Beats)
+	fresh, expiry := freshWatchers(now, v.Heartbeats)
 	if v.Watching {
 		return d.keep(now, v, fresh)
 	}
 	d.spareSince = time.Time{}
-	if len(fresh) >= Wanted {
+	if len(fresh) >= WantedWatchers {
 		d.shortSince = time.Time{}
 		return false, expiry
 	}
@@ -103,15 +103,15 @@
 // keep decides for a host that watches.
 func (d *Decider) keep(now time.Time, v View, fresh []ports.HostID) (bool, time.Time) {
 	d.shortSince = time.Time{}
-	again := now.Add(BeatEvery)
-	if len(fresh) < Wanted {
+	again := now.Add(HeartbeatInterval)
+	if len(fresh) < WantedWatchers {
 		d.spareSince = time.Time{}
 		return true, again
 	}
 	if !v.StoreOK {
 		return false, again
 	}
-	if Rank(d.self, fresh) < Wanted {
+	if Rank(d.self, fresh) < WantedWatchers {
 		d.spareSince = time.Time{}
 		return true, again
 	}
@@ -121,17 +121,17 @@
 	return now.Sub(d.spareSince) < spare, again
 }
 
-// Failed notes that the store did not serve this host's try to take over. While
+// RecordFailure notes that the store did not serve this host's try to take over. While
 // the store is out for everybody all hosts try by turns, so that together they
 // make one call every stagger, however many they are, and fewer once it is known that
 // it is out. Once each has tried, those that watched before go on trying for all, as
 // long as they are heard.
-func (d *Decider) Failed(now time.Time, v View) {
+func (d *Decider) RecordFailure(now time.Time, v View) {
 	hosts := time.Duration(len(v.Hosts))
 	switch {
 	case v.outage(now):
 		d.retryAt = now.Add(max(hosts*outageStagger, maxRetry))
-	case anyHeard(now, v.Beats):
+	case anyHeard(now, v.Heartbeats):
 		d.retryAt = now.Add(maxRetry)
 	default:
 		d.retryAt = now.Add(min(max(hosts*stagger, 4*stagger), maxRetry))
--- a/policy/watchers/watchers_test.go
+++ b/policy/watchers/watchers_test.go
@@ -40,13 +40,13 @@
 // to read of it within 2 s, also if the first three in turn are turned away.
 func TestTakesOverWithinASecondOfSilence(t *testing.T) {
 	all := hosts(14)
-	beats := map[ports.HostID]Beat{
-		all[0]: {Heard: start, StoreOK: true},
-		all[1]: {Heard: start, StoreOK: true},
+	beats := map[ports.HostID]Heartbeat{
+		all[0]: {ReceivedAt: start, StoreOK: true},
+		all[1]: {ReceivedAt: start, StoreOK: true},
 	}
 	early := 0
 	for _, id := range all[2:] {
-		took := firstWatch(NewDecider(id), start, View{Hosts: all, Beats: beats})
+		took := firstWatch(NewDecider(id), start, View{Hosts: all, Heartbeats: beats})
 		assert.Check(t, took > 0 && took <= silentAfter+maxStagger, "%s after %s", id, took)
 		if took <= time.Second {
 			early++
@@ -59,14 +59,14 @@
 // say so once their time is up, and others that are served take over.
 func TestTakesOverFromWatchersThatTheStoreFails(t *testing.T) {
 	all := hosts(14)
-	late := at(Wait + 300*time.Millisecond)
-	beats := map[ports.HostID]Beat{
-		all[0]: {Heard: late, StoreOK: false},
-		all[1]: {Heard: late, StoreOK: false},
+	late := at(WatchTimeout + 300*time.Millisecond)
+	beats := map[ports.HostID]Heartbeat{
+		all[0]: {ReceivedAt: late, StoreOK: false},
+		all[1]: {ReceivedAt: late, StoreOK: false},
 	}
 	first := time.Hour
 	for _, id := range all[2:] {
-		first = min(first, firstWatch(NewDecider(id), late, View{Hosts: all, Beats: beats}))
+		first = min(first, firstWatch(NewDecider(id), late, View{Hosts: all, Heartbeats: beats}))
 	}
 	assert.Check(t, first >= 0 && first <= 2*stagger, "first after %s", first)
 }
@@ -84,7 +84,7 @@
 				watch, next := d.Decide(now, View{Hosts: all})
 				if watch {
 					tries++
-					d.Failed(now, View{Hosts: all})
+					d.RecordFailure(now, View{Hosts: all})
 					next = now.Add(time.Millisecond)
 				}
 				now = next
@@ -100,14 +100,14 @@
 	for _, id := range all[:4] {
 		d := NewDecider(id)
 		keep := true
-		for now := start; now.Before(at(5 * time.Second)); now = now.Add(BeatEvery) {
-			beats := make(map[ports.HostID]Beat)
+		for now := start; now.Before(at(5 * time.Second)); now = now.Add(HeartbeatInterval) {
+			beats := make(map[ports.HostID]Heartbeat)
 			for _, other := range all[:4] {
 				if other != id {
-					beats[other] = Beat{Heard: now, StoreOK: true}
+					beats[other] = Heartbeat{ReceivedAt: now, StoreOK: true}
 				}
 			}
-			keep, _ = d.Decide(now, View{Hosts: all, Beats: beats, Watching: true, StoreOK: true})
+			keep, _ = d.Decide(now, View{Hosts: all, Heartbeats: beats, Watching: true, StoreOK: true})
 			if !keep {
 				break
 			}
@@ -116,7 +116,7 @@
 			watching++
 		}
 	}
-	assert.Equal(t, watching, Wanted)
+	assert.Equal(t, watching, WantedWatchers)
 }
 
 // Nobody of 129 hosts hears a watcher any more. Were those that come after the first few
@@ -143,7 +143,7 @@
 	all := hosts(14)
 	for _, id := range all {
 		d := NewDecider(id)
-		d.Defer(at(time.Second))
+		d.DeferUntil(at(time.Second))
 		took := firstWatch(d, start, View{Hosts: all})
 		assert.Check(t, took >= time.Second, "%s after %s", id, took)
 	}
--- a/quarantine/call.go
+++ b/quarantine/call.go
@@ -61,11 +61,11 @@
 	for {
 		answer, t, changed := q.decide(ctx, digest)
 		switch answer {
-		case suspicion.Free:
+		case suspicion.Unrestricted:
 			return &Attempt{q: q, digest: digest}, Decision{}
 		case suspicion.Refused:
 			return nil, q.refuse(Decision{})
-		case suspicion.Alone:
+		case suspicion.Exclusive:
 			q.count.Add(countTrials, 1)
 			return &Attempt{q: q, digest: digest, trial: t}, Decision{Alone: true}
 		}
@@ -80,17 +80,17 @@
 
 // decide says what to do with an attempt now. Changed tells of the next
 // decision about any request.
-func (q *Quarantine) decide(ctx context.Context, digest uint64) (a suspicion.Answer, t *trial, changed <-chan struct{}) {
+func (q *Quarantine) decide(ctx context.Context, digest uint64) (a suspicion.Admission, t *trial, changed <-chan struct{}) {
 	var state suspicion.State
 	var settled bool
 	q.locked(func(now time.Time) {
-		state = q.tracker.Sent(now, digest)
+		state = q.tracker.RecordSent(now, digest)
 		settled = q.tracker.Settled(now, digest)
 		changed = q.changed
 	})
 	switch {
 	case state == suspicion.Clean:
-		return suspicion.Free, nil, changed
+		return suspicion.Unrestricted, nil, changed
 	case settled:
 		return suspicion.Refused, nil, changed
 	case state == suspicion.Quarantined:
@@ -157,7 +157,7 @@
 	}
 	a.once.Do(func() {
 		loss := suspicion.Loss{Target: a.target, Trial: a.trial != nil}
-		a.q.brokeOff(suspicion.Run{Digest: a.digest, Loss: loss})
+		a.q.brokeOff(suspicion.BrokenRun{Digest: a.digest, Loss: loss})
 		a.endTrial()
 	})
 }
--- a/quarantine/keeper.go
+++ b/quarantine/keeper.go
@@ -50,7 +50,7 @@
 // ask asks for the permission to run a suspect. If no keeper answers, this host
 // decides by itself: then one trial may run on each side of a partition, which
 // is better than refusing requests that are most likely innocent.
-func (q *Quarantine) ask(ctx context.Context, digest uint64) (suspicion.Answer, *trial) {
+func (q *Quarantine) ask(ctx context.Context, digest uint64) (suspicion.Admission, *trial) {
 	t := q.newTrial()
 	for _, id := range q.keepers(digest) {
 		t.keepers = append(t.keepers, id)
@@ -65,19 +65,19 @@
 	return q.askSelf(digest, t), t
 }
 
-func (q *Quarantine) askSelf(digest uint64, t *trial) (a suspicion.Answer) {
+func (q *Quarantine) askSelf(digest uint64, t *trial) (a suspicion.Admission) {
 	q.locked(func(now time.Time) {
-		a = q.tracker.Ask(now, digest, ports.HostID(t.holder))
+		a = q.tracker.Admit(now, digest, ports.HostID(t.holder))
 	})
 	return a
 }
 
-func (q *Quarantine) askKeeper(ctx context.Context, id ports.HostID, digest uint64, t *trial) (suspicion.Answer, bool) {
+func (q *Quarantine) askKeeper(ctx context.Context, id ports.HostID, digest uint64, t *trial) (suspicion.Admission, bool) {
 	req := askReq{Holder: t.holder}
 	suspected := false
 	q.locked(func(now time.Time) { req.Record, suspected = q.tracker.Record(now, digest) })
 	if !suspected {
-		return suspicion.Free, true
+		return suspicion.Unrestricted, true
 	}
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -87,7 +87,7 @@
 	}
 	q.locked(func(now time.Time) {
 		switch resp.Answer {
-		case suspicion.Free:
+		case suspicion.Unrestricted:
 			q.tracker.Clear(now, digest)
 		case suspicion.Refused:
 			q.tracker.Merge(now, resp.Record, q.answered.has(digest))
@@ -101,7 +101,7 @@
 	d := req.Record.Digest
 	q.locked(func(now time.Time) {
 		q.tracker.Merge(now, req.Record, q.answered.has(d))
-		resp.Answer = q.tracker.Ask(now, d, ports.HostID(req.Holder))
+		resp.Answer = q.tracker.Admit(now, d, ports.HostID(req.Holder))
 		if resp.Answer == suspicion.Refused {
 			resp.Record, _ = q.tracker.Record(now, d)
 		}
@@ -141,7 +141,7 @@
 				behind = append(behind, r.Digest)
 				continue
 			}
-			if rec, ok := q.tracker.Record(now, r.Digest); ok && good && !r.Good && len(rec.Losses) > 1 {
+			if rec, ok := q.tracker.Record(now, r.Digest); ok && good && !r.KnownGood && len(rec.Losses) > 1 {
 				vouch = append(vouch, rec)
 			}
 		}
--- a/quarantine/messages.go
+++ b/quarantine/messages.go
@@ -45,7 +45,7 @@
 
 // askResp answers kindAsk; Record is set if the request is quarantined.
 type askResp struct {
-	Answer suspicion.Answer `msgpack:"a"`
+	Answer suspicion.Admission `msgpack:"a"`
 	Record suspicion.Record `msgpack:"r"`
 }
 
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -128,7 +128,7 @@
 	var records []suspicion.Record
 	q.locked(func(now time.Time) { records = q.tracker.Newest(now, syncRecords) })
 	for _, r := range records {
-		if r.Fresh(repeatFor) && q.repeats(r.Digest) {
+		if r.ChangedWithin(repeatFor) && q.repeats(r.Digest) {
 			q.tell(r)
 		}
 	}
@@ -169,7 +169,7 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.tracker.Need(need)
+	q.tracker.SetMinLosses(need)
 	f(time.Now())
 	q.entries.Store(int64(q.tracker.Len()))
 }
@@ -198,7 +198,7 @@
 }
 
 // brokeOff takes in a run of this host that broke off.
-func (q *Quarantine) brokeOff(r suspicion.Run) {
+func (q *Quarantine) brokeOff(r suspicion.BrokenRun) {
 	q.reach.down(r.Target)
 	r.KnownGood = q.answered.has(r.Digest)
 	var was, is suspicion.State
@@ -206,7 +206,7 @@
 	q.locked(func(now time.Time) {
 		r.At = now
 		was = q.tracker.State(now, r.Digest)
-		is = q.tracker.BrokeOff(now, r)
+		is = q.tracker.RecordBrokenRun(now, r)
 		if rec, ok := q.tracker.Record(now, r.Digest); ok {
 			records = append(records, rec)
 		}
--- a/quarantine/reach.go
+++ b/quarantine/reach.go
@@ -58,13 +58,13 @@
 	if a == nil || !a.q.reach.down(target) {
 		return
 	}
-	a.q.locked(func(now time.Time) { a.q.tracker.Lost(now, target) })
+	a.q.locked(func(now time.Time) { a.q.tracker.RecordLostTarget(now, target) })
 	broadcast(a.q, kindLost, lostMsg{Target: target})
 }
 
 func (q *Quarantine) onLost(_ context.Context, _ peer.HostID, msg lostMsg) (struct{}, error) {
 	if q.reach.down(msg.Target) {
-		q.locked(func(now time.Time) { q.tracker.Lost(now, msg.Target) })
+		q.locked(func(now time.Time) { q.tracker.RecordLostTarget(now, msg.Target) })
 	}
 	return struct{}{}, nil
 }
@@ -73,7 +73,7 @@
 func (q *Quarantine) lostWith(records []suspicion.Record) {
 	for _, r := range records {
 		for _, l := range r.Losses {
-			if l.Ago < syncEvery {
+			if l.Age < syncEvery {
 				q.reach.down(l.Target)
 			}
 		}
--- a/slots/messages.go
+++ b/slots/messages.go
@@ -29,7 +29,7 @@
 
 type tellTo struct {
 	to   ports.HostID
-	tell grant.Tell
+	tell grant.Reply
 }
 
 // overdueNotice tells a host that attempts on these targets are overdue.
@@ -75,16 +75,16 @@
 	return none{}, nil
 }
 
-func (s *Slots) onTell(_ context.Context, from peer.HostID, t grant.Tell) (none, error) {
+func (s *Slots) onTell(_ context.Context, from peer.HostID, t grant.Reply) (none, error) {
 	if svc := s.service(t.Service); svc != nil {
-		svc.do(func(now time.Time) { svc.session.Told(now, from, t) })
+		svc.do(func(now time.Time) { svc.session.HandleReply(now, from, t) })
 	}
 	return none{}, nil
 }
 
 func (s *Slots) onOverdue(_ context.Context, _ peer.HostID, n overdueNotice) (none, error) {
 	if svc := s.service(n.Service); svc != nil {
-		svc.do(func(now time.Time) { svc.session.Overdue(now, n.Targets) })
+		svc.do(func(now time.Time) { svc.session.MarkOverdue(now, n.Targets) })
 	}
 	return none{}, nil
 }
@@ -93,7 +93,7 @@
 func (v *service) note(overdue []ports.HostID) {
 	s := v.owner
 	s.count.overdue.Add(int64(len(overdue)))
-	for _, id := range v.coordinator.Ejected() {
+	for _, id := range v.coordinator.TakeEjected() {
 		s.count.ejected.Add(1)
 		s.deps.Log.Info("target ejected", zap.Stringer("service", v.key), zap.String("target", string(id)))
 	}
--- a/slots/probe.go
+++ b/slots/probe.go
@@ -50,6 +50,6 @@
 // reported. A bad answer alone never ejects a target.
 func (s *Slots) Probed(key blackboard.ServiceKey, id ports.HostID, ok bool, load int) {
 	if svc := s.service(key); svc != nil {
-		svc.do(func(now time.Time) { svc.coordinator.Probed(now, id, ok, load) })
+		svc.do(func(now time.Time) { svc.coordinator.RecordProbe(now, id, ok, load) })
 	}
 }
--- a/slots/service.go
+++ b/slots/service.go
@@ -33,7 +33,7 @@
 	mu          sync.Mutex
 	session     *session.Session
 	coordinator *grant.Coordinator
-	waiters     map[grant.CallID]*waiter
+	waiters     map[grant.AttemptID]*waiter
 	seen        versions
 	timer       *time.Timer
 	due         time.Time
@@ -49,7 +49,7 @@
 
 // waiter is a Pick that waits. done is closed when decision is set.
 type waiter struct {
-	id       grant.CallID
+	id       grant.AttemptID
 	ctx      context.Context
 	done     chan struct{}
 	decision session.Decision
@@ -61,7 +61,7 @@
 		key:         key,
 		session:     session.New(key, s.epoch, rand.New(rand.NewPCG(seed, 2))),
 		coordinator: grant.NewCoordinator(key, rand.New(rand.NewPCG(seed, 3))),
-		waiters:     make(map[grant.CallID]*waiter),
+		waiters:     make(map[grant.AttemptID]*waiter),
 	}
 }
 
@@ -129,7 +129,7 @@
 func (v *service) settle(now time.Time) outbox {
 	var out outbox
 	for {
-		o := v.session.Take()
+		o := v.session.TakeOutput()
 		v.decide(now, o.Decisions)
 		out.overdue = append(out.overdue, o.Overdue...)
 		if o.To == v.owner.self {
@@ -138,12 +138,12 @@
 			out.frames = append(out.frames, frameTo{o.To, o.Frame})
 		}
 		own := false
-		v.coordinator.Flush(now, func(to ports.HostID, t grant.Tell) {
+		v.coordinator.Flush(now, func(to ports.HostID, t grant.Reply) {
 			t.Grants = slices.Clone(t.Grants)
 			t.Refusals = slices.Clone(t.Refusals)
 			if to == v.owner.self {
 				own = true
-				v.session.Told(now, to, t)
+				v.session.HandleReply(now, to, t)
 				return
 			}
 			out.tells = append(out.tells, tellTo{to, t})
@@ -199,7 +199,7 @@
 	v.do(func(now time.Time) {
 		w.id = v.session.NextID()
 		v.waiters[w.id] = w
-		v.session.Ask(now, req, deadline)
+		v.session.Request(now, req, deadline)
 	})
 	return w
 }
@@ -224,7 +224,7 @@
 	w.decision = session.Decision{ID: w.id, Reason: reason}
 }
 
-func (v *service) end(id grant.CallID, r pick.Report) {
+func (v *service) end(id grant.AttemptID, r pick.Report) {
 	v.do(func(now time.Time) { v.session.End(now, id, r) })
 }
 
--- a/slots/slots.go
+++ b/slots/slots.go
@@ -151,7 +151,7 @@
 // held is a grant in the caller's hands.
 type held struct {
 	service  *service
-	id       grant.CallID
+	id       grant.AttemptID
 	target   blackboard.Target
 	released atomic.Bool
 }
