--- /dev/null
+++ b/policy/coldstart/estimate.go
@@ -0,0 +1,102 @@
+// Package coldstart limits how many calls a host sends to targets that have just started.
+//
+// When a zone comes back after an evacuation or a power loss, many of its targets are cold at
+// once. Being idle, they look best to every host at the same moment, but each bears only a few
+// requests a second from all hosts together and fails well above that. Estimate tracks whether
+// one target is cold, and Quota is one host's share of the calls that a cold target bears.
+package coldstart
+
+import "time"
+
+// Source says what an Estimate is based on.
+type Source uint8
+
+const (
+	// Unknown means that there is no information on whether the target is cold.
+	Unknown Source = iota
+	// Record is the target's entry in the platform's record, which is a few seconds old.
+	Record
+	// ZoneReturn is the end of an evacuation of the target's zone: the target may have turned
+	// cold in the meantime without a change of its entry.
+	ZoneReturn
+	// HealthAnswer is the target's own response to a health check.
+	HealthAnswer
+)
+
+// String returns the name of the source in logs.
+func (s Source) String() string {
+	switch s {
+	case Record:
+		return "record"
+	case ZoneReturn:
+		return "zone-returned"
+	case HealthAnswer:
+		return "answer"
+	default:
+		return "unheard"
+	}
+}
+
+// How long a target's own report that it is warm counts. A target that crashes and restarts, or
+// turns cold in place, is back before the record shows it. A report covers any number of calls
+// for freshTTL, and a single call until reportTTL.
+const (
+	freshTTL  = 250 * time.Millisecond
+	reportTTL = time.Second
+)
+
+// Estimate is the time until which a target is considered cold, and the source of that. The zero
+// value means that nothing is known.
+type Estimate struct {
+	ColdUntil time.Time
+	Source    Source
+	// heardAt is when the target itself last reported whether it is cold; used is set once a call
+	// was sent on the strength of that report.
+	heardAt time.Time
+	used    bool
+}
+
+// Cold reports whether the target is considered cold.
+func (b Estimate) Cold(now time.Time) bool { return now.Before(b.ColdUntil) }
+
+// Warm reports whether the target recently reported that it is warm and nothing contradicts it
+// since.
+//
+// Without this check, hosts that have used up their probes would send a target that restarted
+// cold the calls of a warm one.
+func (b Estimate) Warm(now time.Time) bool {
+	ttl := freshTTL
+	if !b.used {
+		ttl = reportTTL
+	}
+	return !b.Cold(now) && !b.heardAt.IsZero() && now.Sub(b.heardAt) < ttl
+}
+
+// MarkUsed records that a call is sent to a target considered warm.
+func (b *Estimate) MarkUsed() { b.used = true }
+
+// Basis returns the source for treating a target as not warm: Unknown if its last report that it
+// is warm is too old.
+func (b Estimate) Basis(now time.Time) Source {
+	if !b.Cold(now) {
+		return Unknown
+	}
+	return b.Source
+}
+
+// Confirmed reports whether the estimate is the target's own report, so that probing it again
+// would add nothing.
+func (b Estimate) Confirmed() bool { return b.Source == HealthAnswer }
+
+// Infer records an indication, other than the target's own report, that it is cold until a time.
+// It never shortens the estimate.
+func (b *Estimate) Infer(now, until time.Time, s Source) {
+	if now.Before(until) && until.After(b.ColdUntil) {
+		*b = Estimate{ColdUntil: until, Source: s, heardAt: b.heardAt, used: b.used}
+	}
+}
+
+// Observe records the target's own report of how much longer it is cold, 0 if it is warm.
+func (b *Estimate) Observe(now time.Time, left time.Duration) {
+	*b = Estimate{ColdUntil: now.Add(left), Source: HealthAnswer, heardAt: now}
+}
--- a/policy/coldstart/quota_test.go
+++ b/policy/coldstart/quota_test.go
@@ -15,10 +15,11 @@
 
 var start = time.Unix(1000, 0)
 
-// What a cold target bears, and the most that may reach it in any second.
+// capacity is the calls per second that a cold target bears, maxPerSecond the most that may reach
+// it within any second.
 const (
-	bears = 4.5
-	most  = 14 // whole calls, bears x 1.5 + 8
+	capacity     = 4.5
+	maxPerSecond = 14 // whole calls: capacity x 1.5 + 8
 )
 
 func hosts(n int) []blackboard.Member {
@@ -30,39 +31,39 @@
 	return list
 }
 
-// limit is a host's part of a target's calls.
-type limit interface{ Take(now time.Time) bool }
+// limiter is a host's share of a target's calls.
+type limiter interface{ Take(now time.Time) bool }
 
-// evenPart is the way that is weighed against Quota: each host has the same part of the rate,
-// and may save up one call.
-type evenPart struct{ l *rate.Limiter }
+// evenShare is the alternative that Quota is compared with: each host has the same share of the
+// rate and may save up one call.
+type evenShare struct{ l *rate.Limiter }
 
-func (e evenPart) Take(now time.Time) bool { return e.l.AllowN(now, 1) }
+func (e evenShare) Take(now time.Time) bool { return e.l.AllowN(now, 1) }
 
-func newEvenPart(_, _ ports.HostID, _ string, perSecond float64, members []blackboard.Member) limit {
-	return evenPart{rate.NewLimiter(rate.Limit(perSecond/float64(len(members))), 1)}
+func newEvenShare(_, _ ports.HostID, _ string, perSecond float64, members []blackboard.Member) limiter {
+	return evenShare{rate.NewLimiter(rate.Limit(perSecond/float64(len(members))), 1)}
 }
 
-func newOwned(self, target ports.HostID, zone string, perSecond float64, members []blackboard.Member) limit {
+func newOwned(self, target ports.HostID, zone string, perSecond float64, members []blackboard.Member) limiter {
 	return NewQuota(self, target, zone, perSecond, members)
 }
 
-type way func(self, target ports.HostID, zone string, perSecond float64, members []blackboard.Member) limit
+type newLimiter func(self, target ports.HostID, zone string, perSecond float64, members []blackboard.Member) limiter
 
-// pressure is what a cold zone of targets got.
-type pressure struct {
-	// worst is the most calls that reached one target within a second, taken the calls in all
-	// over three seconds, wanted those that hosts would have sent.
+// zoneLoad is the load on a cold zone of targets.
+type zoneLoad struct {
+	// worst is the most calls that reached one target within a second, taken the number of calls
+	// sent over three seconds, and wanted the number that hosts tried to send.
 	worst, taken, wanted int
 }
 
-// press has each host of a zone offer a call to a random target some times a second for three
-// seconds. seen tells which hosts a host knows.
-func press(w way, targets int, perSecond float64, all []blackboard.Member, seen func(self int) []blackboard.Member) (p pressure) {
+// simulate has each host of a zone offer calls to random targets at the given rate for three
+// seconds. seen returns the hosts that a host knows.
+func simulate(w newLimiter, targets int, perSecond float64, all []blackboard.Member, seen func(self int) []blackboard.Member) (p zoneLoad) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	type pair struct{ host, target int }
-	parts := make(map[pair]limit)
-	at := make(map[int][]time.Duration)
+	limiters := make(map[pair]limiter)
+	sentAt := make(map[int][]time.Duration)
 	for ms := range 3000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		for i, m := range all {
@@ -72,18 +73,18 @@
 			p.wanted++
 			for _, t := range rng.Perm(targets) {
 				k := pair{i, t}
-				if parts[k] == nil {
-					parts[k] = w(m.Host.ID, ports.HostID(fmt.Sprint("t", t)), "z0", bears, seen(i))
+				if limiters[k] == nil {
+					limiters[k] = w(m.Host.ID, ports.HostID(fmt.Sprint("t", t)), "z0", capacity, seen(i))
 				}
-				if parts[k].Take(now) {
-					at[t] = append(at[t], time.Duration(ms)*time.Millisecond)
+				if limiters[k].Take(now) {
+					sentAt[t] = append(sentAt[t], time.Duration(ms)*time.Millisecond)
 					p.taken++
 					break
 				}
 			}
 		}
 	}
-	for _, times := range at {
+	for _, times := range sentAt {
 		for i := range times {
 			n := 0
 			for _, other := range times[i:] {
@@ -97,32 +98,31 @@
 	return p
 }
 
-// A zone of 52 targets comes back cold, and 35 hosts have calls for it. With even parts, each
-// host may save up a call for each target: what reaches one at the same moment grows with the
-// hosts. Owned by few, it stays within what a target bears, and hosts use most of what there
-// is.
+// A zone of 52 targets comes back cold while 35 hosts have calls for it. With even shares each
+// host may save up a call per target, so the burst on one target grows with the number of hosts.
+// With few owners it stays within the target's capacity, and hosts still use most of that.
 func TestFewOwnersKeepColdTargetsWithinBounds(t *testing.T) {
 	all := hosts(103)
-	know := func(int) []blackboard.Member { return all }
+	view := func(int) []blackboard.Member { return all }
 	for _, perSecond := range []float64{3, 10, 100} {
-		owned := press(newOwned, 52, perSecond, all, know)
-		even := press(newEvenPart, 52, perSecond, all, know)
-		t.Logf("%v calls a second and host: owned %+v, even parts %+v", perSecond, owned, even)
-		assert.Check(t, owned.worst <= most, "%+v", owned)
+		owned := simulate(newOwned, 52, perSecond, all, view)
+		even := simulate(newEvenShare, 52, perSecond, all, view)
+		t.Logf("%v calls per second and host: owned %+v, even shares %+v", perSecond, owned, even)
+		assert.Check(t, owned.worst <= maxPerSecond, "%+v", owned)
 	}
-	// All hosts turn to one target that alone is cold.
-	owned := press(newOwned, 1, 100, all, know)
-	even := press(newEvenPart, 1, 100, all, know)
-	t.Logf("one target: owned %+v, even parts %+v", owned, even)
-	assert.Check(t, owned.worst <= most, "%+v", owned)
-	assert.Check(t, even.worst > most, "%+v", even)
+	// All hosts send to a single cold target.
+	owned := simulate(newOwned, 1, 100, all, view)
+	even := simulate(newEvenShare, 1, 100, all, view)
+	t.Logf("one target: owned %+v, even shares %+v", owned, even)
+	assert.Check(t, owned.worst <= maxPerSecond, "%+v", owned)
+	assert.Check(t, even.worst > maxPerSecond, "%+v", even)
 }
 
-// Hosts start, are cut off and come back: each knows two thirds of the others, and not the
-// same. What reaches a cold target still stays within bounds.
+// Each host knows a different two thirds of the others, as during starts and partitions. The load
+// on a cold target must stay within bounds.
 func TestHostsThatDisagreeKeepColdTargetsWithinBounds(t *testing.T) {
 	all := hosts(103)
-	know := func(self int) []blackboard.Member {
+	view := func(self int) []blackboard.Member {
 		rng := rand.New(rand.NewPCG(uint64(self), 4))
 		var list []blackboard.Member
 		for i, m := range all {
@@ -132,19 +132,19 @@
 		}
 		return list
 	}
-	p := press(newOwned, 52, 20, all, know)
+	p := simulate(newOwned, 52, 20, all, view)
 	t.Logf("%+v", p)
-	assert.Check(t, p.worst <= most, "%+v", p)
+	assert.Check(t, p.worst <= maxPerSecond, "%+v", p)
 }
 
-// Each target has as many owners as its rate allows, all in its zone, and a host that goes
-// takes few ownerships with it.
-func TestOwnersAreFewAndNear(t *testing.T) {
+// Each target has as many owners as its rate allows, all in its zone, and the loss of a host
+// moves few ownerships.
+func TestOwnersAreFewAndInTheZone(t *testing.T) {
 	all := hosts(103)
 	owners := func(target ports.HostID, zone string, members []blackboard.Member) map[ports.HostID]bool {
 		set := make(map[ports.HostID]bool)
 		for _, m := range members {
-			if NewQuota(m.Host.ID, target, zone, bears, members).Available(start) {
+			if NewQuota(m.Host.ID, target, zone, capacity, members).Available(start) {
 				set[m.Host.ID] = true
 			}
 		}
@@ -178,25 +178,25 @@
 	}
 }
 
-// A target says that it is not cold any more, and that holds against what was presumed before;
-// a later sign that it may have turned cold again counts.
-func TestTargetsOwnWordGoesBeforeWhatIsPresumed(t *testing.T) {
+// A target's own report that it is warm overrides earlier inferences; a later indication that it
+// may have turned cold again counts.
+func TestOwnReportOverridesInference(t *testing.T) {
 	var b Estimate
 	b.Infer(start, start.Add(3*time.Second), ZoneReturn)
 	assert.Check(t, b.Cold(start) && !b.Confirmed())
 	b.Observe(start, 0)
 	assert.Check(t, !b.Cold(start) && b.Warm(start))
-	assert.Check(t, b.Warm(start.Add(freshFor)))
-	assert.Check(t, !b.Warm(start.Add(wordFor)), "a word of a while ago says little")
+	assert.Check(t, b.Warm(start.Add(freshTTL)))
+	assert.Check(t, !b.Warm(start.Add(reportTTL)), "an old report has expired")
 	b.MarkUsed()
-	assert.Check(t, !b.Warm(start.Add(freshFor)), "an older word is good for one call")
+	assert.Check(t, !b.Warm(start.Add(freshTTL)), "an aging report covers one call only")
 	b.Infer(start, start.Add(-time.Second), Record)
-	assert.Check(t, !b.Cold(start), "a time that has passed says nothing")
+	assert.Check(t, !b.Cold(start), "a time in the past is ignored")
 	b.Infer(start, start.Add(time.Second), Record)
 	assert.Check(t, b.Cold(start))
 	b.Observe(start, 2*time.Second)
 	b.Infer(start, start.Add(time.Second), Record)
 	assert.Equal(t, b.Basis(start), HealthAnswer)
 	assert.Equal(t, b.Basis(start.Add(3*time.Second)), Unknown)
-	assert.Check(t, b.Confirmed() && b.Cold(start.Add(1900*time.Millisecond)), "a sign does not shorten it")
+	assert.Check(t, b.Confirmed() && b.Cold(start.Add(1900*time.Millisecond)), "an inference does not shorten the estimate")
 }
