--- a/policy/denial/denial.go
+++ b/policy/denial/denial.go
@@ -1,7 +1,8 @@
-// Package denial decides whether a host may tell a caller that its request is not allowed.
+// Package denial decides whether a host may reject a request as invalid by the configuration it
+// has, or must report that it can not tell.
 //
-// The load it answers: a configuration has just added routes, and some hosts do not have it
-// yet, for their links are full, they are cut off, or those that watch the store for them died.
+// After a configuration adds routes, some hosts lack it for a while: their links are saturated,
+// they are partitioned, or the hosts that watch the store for them have crashed.
 package denial
 
 import (
@@ -11,26 +12,29 @@
 )
 
 // MaxAge is the age of a confirmation up to which a host denies requests by it. A configuration
-// must be in force everywhere 2 s after it was accepted; the rest of these is for the answer. A
-// calm store confirms each 0.9 s, and again each 0.9 s after a change that it told of.
+// must be in force everywhere within 2 s of its acceptance; the remainder is left for writing the
+// response. An idle store confirms the version every 0.9 s, and again 0.9 s after each change
+// that it reported.
 const MaxAge = 1900 * time.Millisecond
 
-// FreshAge is the age of a confirmation up to which a host asks for no younger one: there is time
-// left until the answer is written.
+// FreshAge is the age of a confirmation up to which a host does not request a newer one. It
+// leaves time until the response is written.
 const FreshAge = MaxAge - 50*time.Millisecond
 
-// ConfigState is what a host knows of the configuration that it finds routes by.
+// ConfigState is what a host knows of the configuration that it looks up routes in.
 type ConfigState struct {
-	// Version is the one at hand, Newest the highest that the host has heard of.
+	// Version is the installed configuration, Newest the highest version that the host has heard
+	// of.
 	Version, Newest uint64
-	// Age is how long ago the platform's store had none that is newer than Newest, or Never.
+	// Age is the time since the platform's store was last known to have nothing newer than
+	// Newest, or Never.
 	Age time.Duration
 }
 
-// Never is the age of a confirmation that there never was.
+// Never is the age of a confirmation that was never received.
 const Never time.Duration = math.MaxInt64
 
-// String returns the knowledge as the line of a call shows it.
+// String returns the state as the log line of a call shows it.
 func (k ConfigState) String() string {
 	if k.Age == Never {
 		return fmt.Sprintf("newest=%d never confirmed", k.Newest)
@@ -38,11 +42,12 @@
 	return fmt.Sprintf("newest=%d confirmed %s ago", k.Newest, k.Age.Round(time.Millisecond))
 }
 
-// MayDeny reports whether a request that the configuration at hand does not allow, since it has
-// no route for it or its body is larger than it says, may be answered as one that none allows.
+// MayDeny reports whether a request that the installed configuration does not allow, because
+// there is no route for it or its body is too large, may be rejected as such.
 //
-// A denial says that the request is wrong, and nobody repeats it: it may not rest on an old table. A
-// host that can not tell refuses instead, which says that the request did not run.
+// A denial tells the caller that the request itself is wrong, so it will not be retried: it must
+// not be based on a stale routing table. A host that can not tell refuses the request instead,
+// which means that it did not run and may be retried.
 func (k ConfigState) MayDeny() bool {
 	return !k.Behind() && k.Age <= MaxAge
 }
