--- a/policy/grant/choose.go
+++ b/policy/grant/choose.go
@@ -9,50 +9,51 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Choice among targets.
+// Parameters of the choice among targets.
 const (
-	// overdueTimes the median latency makes an attempt overdue: the target is
-	// taken for a straggler while it lasts.
-	overdueTimes = 6
-	// minOverdue keeps very fast services from suspecting targets on a delay
-	// in the network.
+	// overdueFactor times the median latency makes an attempt overdue: its target is treated as a
+	// straggler while the attempt lasts.
+	overdueFactor = 6
+	// minOverdue keeps network delays from marking the targets of very fast services as
+	// stragglers.
 	minOverdue = 2 * time.Millisecond
-	// maxGap bounds what is believed of the journey of grant and release.
-	maxGap = 10 * time.Millisecond
-	// minSamples is how many latencies must be known to judge by them.
+	// maxTurnaround is the longest plausible delay of a release and grant; longer samples are
+	// ignored.
+	maxTurnaround = 10 * time.Millisecond
+	// minSamples is the number of latencies needed before statistics are used.
 	minSamples = 20
-	// coldFloor is the share of its slots with which a new target starts.
-	coldFloor = 0.1
-	// maxCold is the share of targets above which cold starts are ignored:
-	// when most targets are new, holding them back only delays the calls.
-	maxCold = 0.5
+	// minColdShare is the share of its slots that a target starts with.
+	minColdShare = 0.1
+	// maxColdTargets is the share of cold targets above which cold starts are ignored: when most
+	// targets are new, limiting them only delays the calls.
+	maxColdTargets = 0.5
 )
 
-// dispatch gives slots to asks until it runs out of one or the other.
+// dispatch grants slots to waiting requests until it runs out of one or the other.
 func (b *Coordinator) dispatch(now time.Time) {
 	if b.queued > 0 && b.capacity == 0 {
 		b.declineAll()
 	}
 	b.checkReserved()
-	b.full = false
+	b.saturated = false
 	for _, h := range b.hosts {
-		h.passed = false
+		h.skipped = false
 	}
 	for b.queued > 0 {
 		h := b.next()
 		if h == nil {
 			return
 		}
-		h.passed = !b.serve(now, h)
+		h.skipped = !b.serve(now, h)
 	}
 }
 
-// next returns the host whose oldest ask is due first, of those whose turn was
-// not passed because no target suits the ask.
+// next returns the host whose oldest request is due first, except for hosts that were skipped
+// because no target suits their requests.
 func (b *Coordinator) next() *host {
 	var first *host
 	for _, h := range b.hosts {
-		if h.queue.len() == 0 || h.passed {
+		if h.queue.len() == 0 || h.skipped {
 			continue
 		}
 		if first == nil || h.queue.front().tag.Before(first.queue.front().tag) {
@@ -62,107 +63,107 @@
 	return first
 }
 
-// Fairness between hosts.
+// Parameters of the fair queuing between hosts.
 const (
-	// fairTimes an even share of the capacity is served in the order of
-	// arrival; what a host asks beyond it waits behind the others.
-	fairTimes = 2
-	// fairBurst asks may come at once before that counts.
+	// fairFactor times an even share of the capacity is served in order of arrival; requests of a
+	// host beyond that are queued behind those of other hosts.
+	fairFactor = 2
+	// fairBurst is the number of requests that may arrive at once before fairFactor applies.
 	fairBurst = 16
 )
 
-// tag returns when an ask is due. Asks are served in the order of arrival, which
-// has the shortest tail, as long as each host keeps to a multiple of its even
-// share; a host that floods the coordinator delays its own asks only.
+// tag returns the start tag of a request, the time at which it is due. Requests are served in
+// order of arrival, which has the shortest tail latency, as long as each host stays within a
+// multiple of its even share; a host that floods the coordinator delays only its own requests.
 func (b *Coordinator) tag(now time.Time, h *host) time.Time {
-	if b.capacity == 0 || b.service.Count() < minSamples {
+	if b.capacity == 0 || b.latencies.Count() < minSamples {
 		return now
 	}
-	every := b.service.Mean() * time.Duration(len(b.hosts)) / time.Duration(fairTimes*b.capacity)
-	if h.paid.Before(now) {
-		h.paid = now
+	every := b.latencies.Mean() * time.Duration(len(b.hosts)) / time.Duration(fairFactor*b.capacity)
+	if h.shareUsedUntil.Before(now) {
+		h.shareUsedUntil = now
 	}
-	h.paid = h.paid.Add(every)
-	due := h.paid.Add(-fairBurst * every)
+	h.shareUsedUntil = h.shareUsedUntil.Add(every)
+	due := h.shareUsedUntil.Add(-fairBurst * every)
 	if due.Before(now) {
 		return now
 	}
 	return due
 }
 
-// serve settles one ask of a host, the oldest that can be, and reports whether
-// there was one. An ask that wants a certain target does not hold up those
-// behind it; any other ask that finds no slot shows that there is none.
+// serve grants or refuses the oldest request of a host that it can, and reports whether there was
+// one. A request that needs a particular target does not block those behind it; any other request
+// that finds no slot shows that no slot is free.
 func (b *Coordinator) serve(now time.Time, h *host) bool {
 	for i := h.queue.head; i < len(h.queue.items); i++ {
 		w := &h.queue.items[i]
-		if b.full && w.ask.plain() {
+		if b.saturated && w.request.plain() {
 			return false
 		}
-		if b.settle(now, h, w) {
+		if b.resolve(now, h, w) {
 			h.queue.removeAt(i)
 			b.queued--
 			return true
 		}
-		b.full = b.full || w.ask.plain()
+		b.saturated = b.saturated || w.request.plain()
 	}
 	return false
 }
 
-// plain reports whether any target will do.
+// plain reports whether any target with a free slot will do.
 func (a *Request) plain() bool { return !a.Exclusive && !a.Hedge && len(a.Avoid) == 0 }
 
-// settle grants or refuses an ask, or leaves it waiting and returns false.
-func (b *Coordinator) settle(now time.Time, h *host, w *waiter) bool {
-	if !w.deadline.IsZero() && now.Add(b.service.Median()).After(w.deadline) {
-		h.refuse(w.ask.ID, outcome.ReasonDeadline)
+// resolve grants or refuses a request, or returns false to leave it waiting.
+func (b *Coordinator) resolve(now time.Time, h *host, w *waiter) bool {
+	if !w.deadline.IsZero() && now.Add(b.latencies.Median()).After(w.deadline) {
+		h.refuse(w.request.ID, outcome.ReasonDeadline)
 		return true
 	}
-	t := b.place(now, h, &w.ask)
-	if t == nil && w.ask.Hedge {
-		h.refuse(w.ask.ID, outcome.ReasonQueueFull)
+	t := b.pickTarget(now, h, &w.request)
+	if t == nil && w.request.Hedge {
+		h.refuse(w.request.ID, outcome.ReasonQueueFull)
 		return true
 	}
 	if t == nil {
 		return false
 	}
-	b.hold(h, w.ask.ID, t, now, w.ask.Exclusive)
+	b.add(h, w.request.ID, t, now, w.request.Exclusive)
 	t.lastGrant = now
-	h.grants = append(h.grants, Grant{ID: w.ask.ID, Target: t.id})
+	h.grants = append(h.grants, Grant{ID: w.request.ID, Target: t.id})
 	return true
 }
 
-// checkReserved frees the reserved target when the ask it was kept for is gone.
-// Otherwise it would stand idle until the next such ask.
+// checkReserved clears the reservation of a target once no exclusive request is waiting.
+// Otherwise the target would stay idle until the next one.
 func (b *Coordinator) checkReserved() {
 	if b.reserved == nil {
 		return
 	}
 	for _, h := range b.hosts {
-		if h.queue.hasAlone() {
+		if h.queue.hasExclusive() {
 			return
 		}
 	}
 	b.reserved = nil
 }
 
-// declineAll sends all asks back to their hosts. The list of targets that this
-// host has may lag behind theirs, so it can not say that there is none.
+// declineAll tells all waiting hosts to choose targets themselves. This host's target list may be
+// older than theirs, so it can not tell them that there are no targets.
 func (b *Coordinator) declineAll() {
 	for _, h := range b.hosts {
 		h.decline = h.decline || h.queue.len() > 0
-		b.queued -= h.queue.keep(func(AttemptID) bool { return false })
+		b.queued -= h.queue.retain(func(AttemptID) bool { return false })
 	}
 }
 
-// place returns the target for an ask, or nil if none has a slot now.
-func (b *Coordinator) place(now time.Time, h *host, a *Request) *target {
+// pickTarget returns the target for a request, or nil if no suitable target has a free slot.
+func (b *Coordinator) pickTarget(now time.Time, h *host, a *Request) *target {
 	if a.Exclusive {
-		return b.placeAlone(now, a)
+		return b.pickExclusive(now, a)
 	}
-	in := b.terms(now, a)
-	// A second attempt beside the first at the same target would help nobody.
-	strict := a.Hedge || (len(a.Avoid) > 0 && b.others(now, a.Avoid))
+	in := b.newPickParams(now, a)
+	// A hedge on the target of the first attempt would gain nothing.
+	strict := a.Hedge || (len(a.Avoid) > 0 && b.hasAlternative(now, a.Avoid))
 	var best *target
 	bestScore := 0
 	b.offset++
@@ -177,7 +178,7 @@
 			continue
 		}
 		if t.zone != h.zone {
-			score += scoreFar
+			score += otherZonePenalty
 		}
 		if best != nil && score >= bestScore {
 			continue
@@ -190,19 +191,19 @@
 	return best
 }
 
-// terms is what a choice looks up once for all targets.
-type terms struct {
+// pickParams holds what a choice computes once for all targets.
+type pickParams struct {
 	time    time.Time
 	now     instant.Time
 	limit   int // attempts a healthy target may hold
 	cold    bool
-	overdue instant.Time // grants before it are overdue
+	overdue instant.Time // attempts granted before it are overdue
 }
 
-func (b *Coordinator) terms(now time.Time, a *Request) terms {
-	in := terms{time: now, now: b.clock.At(now), limit: b.slots, cold: b.coldLimit(now)}
+func (b *Coordinator) newPickParams(now time.Time, a *Request) pickParams {
+	in := pickParams{time: now, now: b.clock.At(now), limit: b.slots, cold: b.limitsCold(now)}
 	if !a.Hedge {
-		in.limit += b.over()
+		in.limit += b.overcommit()
 	}
 	if d := b.overdueAfter(); d > 0 {
 		in.overdue = in.now.Add(-d)
@@ -210,47 +211,47 @@
 	return in
 }
 
-// Scores: lower is better; an attempt in flight counts one step.
+// Components of a score. The lowest score wins; an attempt in flight costs attemptCost.
 const (
-	step         = 16
-	scoreOverdue = 8 * step
-	scoreCold    = step / 2
-	scoreSlow    = step // as much as one more attempt in flight
-	scoreFar     = 1    // among equals the target in the host's zone is nearer
+	attemptCost      = 16
+	overduePenalty   = 8 * attemptCost
+	coldPenalty      = attemptCost / 2
+	slowPenalty      = attemptCost // as much as one more attempt in flight
+	otherZonePenalty = 1           // prefers the host's availability zone among equals
 )
 
-// score rates a target; false means that it has no slot.
-func (b *Coordinator) score(in *terms, t *target) (int, bool) {
-	if !t.open || t == b.reserved {
+// score returns the score of a target, and false if it has no free slot.
+func (b *Coordinator) score(in *pickParams, t *target) (int, bool) {
+	if !t.available || t == b.reserved {
 		return 0, false
 	}
-	held := len(t.calls)
+	held := len(t.attempts)
 	limit := in.limit
-	score := held * step
-	if t.foreign > 0 && in.now.Add(-foreignFor) < t.foreignAt {
-		score += t.foreign * step
+	score := held * attemptCost
+	if t.otherLoad > 0 && in.now.Add(-otherLoadTTL) < t.otherLoadAt {
+		score += t.otherLoad * attemptCost
 	}
-	if held > 0 && t.oldest < in.overdue {
+	if held > 0 && t.oldestGrant < in.overdue {
 		limit = b.slots
-		score += scoreOverdue
+		score += overduePenalty
 	}
 	if in.now < t.slowUntil {
-		score += scoreSlow
+		score += slowPenalty
 	}
-	if in.now < t.restUntil {
-		limit = min(limit, t.restLimit)
+	if in.now < t.backoffUntil {
+		limit = min(limit, t.backoffLimit)
 	}
 	if held >= limit {
 		return 0, false
 	}
-	if in.cold || t.doubted {
-		return b.scoreDoubted(in, t, score)
+	if in.cold || t.impaired {
+		return b.scoreImpaired(in, t, score)
 	}
 	return score, true
 }
 
-// scoreDoubted goes on for targets that may be cold, ejected or on trial.
-func (b *Coordinator) scoreDoubted(in *terms, t *target, score int) (int, bool) {
+// scoreImpaired completes the score of a target that may be cold, ejected or on trial.
+func (b *Coordinator) scoreImpaired(in *pickParams, t *target, score int) (int, bool) {
 	if t.health.Ejected(in.time) {
 		return 0, false
 	}
@@ -260,44 +261,44 @@
 	if !in.cold || !b.isCold(in.time, t) {
 		return score, true
 	}
-	if t.inFlight() >= b.slots || !b.coldTurn(in.time, t) {
+	if t.inFlight() >= b.slots || !b.coldSlotDue(in.time, t) {
 		return 0, false
 	}
-	return score + scoreCold, true
+	return score + coldPenalty, true
 }
 
-// overdueAfter is the age at which an attempt is overdue, 0 if not known.
+// overdueAfter returns the age at which an attempt is overdue, or 0 if too few latencies are
+// known.
 func (b *Coordinator) overdueAfter() time.Duration {
-	if b.service.Count() < minSamples {
+	if b.latencies.Count() < minSamples {
 		return 0
 	}
-	return max(overdueTimes*b.service.Median(), minOverdue)
+	return max(overdueFactor*b.latencies.Median(), minOverdue)
 }
 
-// over is how many attempts beyond its slots a target may hold: as many as fit
-// into the journey of release and grant. Never over the slots, each slot stands
-// idle for that journey; further over, calls wait in the target's queue, behind
-// a straggler if it has become one.
-func (b *Coordinator) over() int {
-	mean := b.service.Mean()
-	if b.service.Count() < minSamples || mean <= 0 {
+// overcommit returns how many attempts beyond its slots a target may hold: as many as complete
+// during the delay between a release and the next grant. Without overcommit each slot is idle for
+// that delay; with more, calls wait in the target's queue, possibly behind a straggler.
+func (b *Coordinator) overcommit() int {
+	mean := b.latencies.Mean()
+	if b.latencies.Count() < minSamples || mean <= 0 {
 		return 1
 	}
-	journey := 2*b.gap + fixedGap
+	turnaround := 2*b.turnaround + targetRTT
 	if b.queued > max(b.capacity/4, 1) {
-		journey += mean
+		turnaround += mean
 	}
-	n := int((time.Duration(b.slots)*journey + mean - 1) / mean)
+	n := int((time.Duration(b.slots)*turnaround + mean - 1) / mean)
 	return min(max(n, 1), 2*b.slots)
 }
 
-// fixedGap is the part of the journey that reports do not show: the way from
-// the entry host to the target and back.
-const fixedGap = 500 * time.Microsecond
+// targetRTT is the part of the turnaround that reports do not include: the network round trip
+// between the entry host and the target.
+const targetRTT = 500 * time.Microsecond
 
-// coldLimit reports whether cold starts are to be held back.
-func (b *Coordinator) coldLimit(now time.Time) bool {
-	if b.cold <= 0 {
+// limitsCold reports whether targets in their cold start are limited.
+func (b *Coordinator) limitsCold(now time.Time) bool {
+	if b.coldStart <= 0 {
 		return false
 	}
 	n := 0
@@ -306,23 +307,23 @@
 			n++
 		}
 	}
-	return n > 0 && float64(n) <= maxCold*float64(len(b.targets))
+	return n > 0 && float64(n) <= maxColdTargets*float64(len(b.targets))
 }
 
 func (b *Coordinator) isCold(now time.Time, t *target) bool {
-	return now.Sub(t.firstSeen) < b.cold
+	return now.Sub(t.firstSeen) < b.coldStart
 }
 
-// coldTurn spaces the attempts on a new target so that its share grows from
-// coldFloor to the whole over the cold start.
-func (b *Coordinator) coldTurn(now time.Time, t *target) bool {
-	share := max(float64(now.Sub(t.firstSeen))/float64(b.cold), coldFloor)
-	every := float64(b.service.Mean()) / (float64(b.slots) * share)
+// coldSlotDue spaces the attempts on a cold target so that its share of the calls grows from
+// minColdShare to the whole over the cold start.
+func (b *Coordinator) coldSlotDue(now time.Time, t *target) bool {
+	share := max(float64(now.Sub(t.firstSeen))/float64(b.coldStart), minColdShare)
+	every := float64(b.latencies.Mean()) / (float64(b.slots) * share)
 	return now.Sub(t.lastGrant) >= time.Duration(every)
 }
 
-// others reports whether a target that is not to be avoided could serve.
-func (b *Coordinator) others(now time.Time, avoid []ports.HostID) bool {
+// hasAlternative reports whether a target that is not to be avoided could serve the request.
+func (b *Coordinator) hasAlternative(now time.Time, avoid []ports.HostID) bool {
 	for _, t := range b.targets {
 		if t.usable() && !t.health.Ejected(now) && !slices.Contains(avoid, t.id) {
 			return true
@@ -331,14 +332,14 @@
 	return false
 }
 
-// placeAlone returns an idle target. If there is none it keeps one from getting
-// more, so that busy targets can not put off the ask for ever.
-func (b *Coordinator) placeAlone(now time.Time, a *Request) *target {
+// pickExclusive returns an idle target. If there is none, it reserves one, which then gets no
+// other attempts: otherwise busy targets could delay the request forever.
+func (b *Coordinator) pickExclusive(now time.Time, a *Request) *target {
 	var least *target
-	strict := b.others(now, a.Avoid)
+	strict := b.hasAlternative(now, a.Avoid)
 	at := b.clock.At(now)
 	for _, t := range b.targets {
-		if !t.open || t.health.Ejected(now) || at < t.restUntil {
+		if !t.available || t.health.Ejected(now) || at < t.backoffUntil {
 			continue
 		}
 		if strict && slices.Contains(a.Avoid, t.id) {
--- a/policy/grant/coordinator.go
+++ b/policy/grant/coordinator.go
@@ -16,93 +16,92 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Times of the protocol between a coordinator and the entry hosts.
+// Timing of the protocol between a coordinator and the entry hosts.
 const (
-	// TickInterval is how often Tick should run while an ask waits.
+	// TickInterval is how often Tick should run while a request is waiting.
 	TickInterval = time.Millisecond
-	// aliveEvery is how often a host with a queued ask hears that it is queued.
-	aliveEvery = 1500 * time.Microsecond
-	// HeartbeatInterval is how often a host sends a full frame while it has an ask
-	// or an attempt.
+	// keepaliveInterval is how often a host with a queued request gets a keepalive.
+	keepaliveInterval = 1500 * time.Microsecond
+	// HeartbeatInterval is how often a host sends a full frame while it has a request or an
+	// attempt in flight.
 	HeartbeatInterval = 50 * time.Millisecond
-	// hostTimeout is the silence after which a host's attempts lapse: its
-	// process died, it was cut off, or it has another coordinator. Until then
-	// they take slots that may be free; a host that lapses by mistake tells of
-	// its attempts anew with its next frame.
+	// hostTimeout is the silence after which a host's attempts expire: its process died, it was
+	// cut off, or it uses another coordinator. Until then they occupy slots that may be free. A
+	// host that expires by mistake lists its attempts again in its next frame.
 	hostTimeout = 3 * HeartbeatInterval
-	// transit is how long a grant may be on its way before a full frame that
-	// does not list it shows that it was lost.
-	transit = 20 * time.Millisecond
+	// maxTransit is how long a grant may be in transit. After that, a full frame that does not
+	// list it shows that it was lost.
+	maxTransit = 20 * time.Millisecond
 )
 
-// Coordinator holds the attempts in flight and the asks that wait, of one service. It
-// is not safe for concurrent use.
+// Coordinator holds the attempts in flight and the waiting requests of one service. It is not
+// safe for concurrent use.
 type Coordinator struct {
-	key     blackboard.ServiceKey
-	slots   int
-	cold    time.Duration
-	rng     *rand.Rand
-	clock   instant.Clock
-	targets []*target
-	byID    map[ports.HostID]*target
-	hosts   []*host
-	byHost  map[ports.HostID]*host
-	queued  int
-	calls   map[callKey]*call
-	zones   []string
-	spare   []*call
+	key          blackboard.ServiceKey
+	slots        int
+	coldStart    time.Duration
+	rng          *rand.Rand
+	clock        instant.Clock
+	targets      []*target
+	byID         map[ports.HostID]*target
+	hosts        []*host
+	byHost       map[ports.HostID]*host
+	queued       int
+	attempts     map[attemptKey]*attempt
+	zones        []string
+	freeAttempts []*attempt
 
-	service  latency.Tracker // of attempts that found a slot free
-	failures health.Service
-	gap      time.Duration  // slot time between two calls, see learnGap
-	capacity int            // slots of the usable targets
-	newlyOut []ports.HostID // ejected since Ejected was called
-	reserved *target        // kept free for an ask that must be alone
-	full     bool           // no target has a slot, as dispatch just found
-	offset   int            // where the next choice starts among equals
+	latencies    latency.Tracker // of attempts that were granted a free slot
+	failures     health.Service
+	turnaround   time.Duration  // idle time of a slot between two attempts, see updateTurnaround
+	capacity     int            // slots of the usable targets
+	newlyEjected []ports.HostID // ejected since TakeEjected was last called
+	reserved     *target        // gets no more attempts, for the sake of an exclusive request
+	saturated    bool           // dispatch found no target with a free slot
+	offset       int            // target at which the next choice starts
 }
 
-// callKey names an attempt among those of all hosts.
-type callKey struct {
+// attemptKey identifies an attempt across all hosts.
+type attemptKey struct {
 	host ports.HostID
 	id   AttemptID
 }
 
-// call is an attempt that holds a slot.
-type call struct {
-	host    *host
-	id      AttemptID
-	target  *target
-	granted time.Time
-	since   instant.Time // granted
-	alone   bool
-	// confirmed is set once a full frame of the host listed it: from then on
-	// it has ended when a full frame does not.
+// attempt is an attempt that holds a slot.
+type attempt struct {
+	host      *host
+	id        AttemptID
+	target    *target
+	granted   time.Time
+	since     instant.Time // same as granted
+	exclusive bool
+	// confirmed is set once a full frame of the host listed the attempt. From then on, a full
+	// frame that does not list it means that it has ended.
 	confirmed bool
-	queued    bool // all slots of the target were taken when it was granted
+	queued    bool // all slots of the target were in use when it was granted
 }
 
 // NewCoordinator returns a coordinator without targets or hosts.
 func NewCoordinator(key blackboard.ServiceKey, rng *rand.Rand) *Coordinator {
 	return &Coordinator{
-		key:    key,
-		slots:  1,
-		rng:    rng,
-		byID:   make(map[ports.HostID]*target),
-		byHost: make(map[ports.HostID]*host),
-		calls:  make(map[callKey]*call),
+		key:      key,
+		slots:    1,
+		rng:      rng,
+		byID:     make(map[ports.HostID]*target),
+		byHost:   make(map[ports.HostID]*host),
+		attempts: make(map[attemptKey]*attempt),
 	}
 }
 
-// Configure takes the declaration of the service.
+// Configure applies the declaration of the service.
 func (b *Coordinator) Configure(s *declare.Service) {
 	b.slots = max(s.Slots, 1)
-	b.cold = s.ColdStart
-	b.count()
+	b.coldStart = s.ColdStart
+	b.updateCapacity()
 }
 
-// SetTargets takes the view of the targets. Targets that are no longer listed
-// get no new attempt and are forgotten when their last one has ended.
+// SetTargets replaces the list of targets. Targets that are no longer listed get no new attempts
+// and are dropped when their last one has ended.
 func (b *Coordinator) SetTargets(now time.Time, list []blackboard.Target) {
 	for _, t := range b.targets {
 		t.listed = false
@@ -120,13 +119,13 @@
 		t.leaving = t.leaving || info.Leaving
 	}
 	for _, t := range b.targets {
-		t.setOpen()
+		t.updateAvailable()
 	}
-	b.forgetTargets()
+	b.dropTargets()
 	b.dispatch(now)
 }
 
-// zone returns the number that stands for a zone's name.
+// zone returns the number that stands for the name of an availability zone.
 func (b *Coordinator) zone(name string) zone {
 	if i := slices.Index(b.zones, name); i >= 0 {
 		return zone(i)
@@ -135,7 +134,7 @@
 	return zone(len(b.zones) - 1)
 }
 
-func (b *Coordinator) forgetTargets() {
+func (b *Coordinator) dropTargets() {
 	b.targets = slices.DeleteFunc(b.targets, func(t *target) bool {
 		gone := !t.listed && t.inFlight() == 0
 		if gone {
@@ -147,11 +146,11 @@
 	if b.reserved != nil && !b.reserved.usable() {
 		b.reserved = nil
 	}
-	b.count()
+	b.updateCapacity()
 }
 
-// count brings the sums over all targets up to date.
-func (b *Coordinator) count() {
+// updateCapacity recomputes the number of slots of all usable targets.
+func (b *Coordinator) updateCapacity() {
 	b.capacity = 0
 	for _, t := range b.targets {
 		if t.usable() {
@@ -160,40 +159,40 @@
 	}
 }
 
-// Receive takes a frame of an entry host.
+// Receive processes a frame from an entry host.
 func (b *Coordinator) Receive(now time.Time, from ports.HostID, f Frame) {
 	h := b.host(from, f)
 	if f.Epoch != h.epoch {
-		return // a late frame of an earlier run
+		return // delayed frame of an earlier run
 	}
-	h.heard = now
+	h.lastHeard = now
 	for i := range f.Completions {
-		b.end(now, h, f.Completions[i])
+		b.complete(now, h, f.Completions[i])
 	}
 	for i := range f.Requests {
-		b.ask(now, h, f.Requests[i])
+		b.enqueue(now, h, f.Requests[i])
 	}
-	// A full frame that a later frame overtook may list attempts whose end is
-	// known already; they would come back and hold their slots until the next.
+	// An overtaken full frame may list attempts that are known to have ended; they would occupy
+	// slots again until the next full frame.
 	if f.Full && f.Seq > h.seq {
-		b.takeFull(now, h, f)
+		b.applyFull(now, h, f)
 	}
-	h.known = h.known || f.Full
+	h.synced = h.synced || f.Full
 	h.seq = max(h.seq, f.Seq)
-	h.resync = !h.known
-	if f.Full { // it also asks: are you there?
-		h.alive = true
+	h.resync = !h.synced
+	if f.Full { // also serves as a liveness check
+		h.keepalive = true
 		h.decline = b.capacity == 0
 	}
 	b.dispatch(now)
 }
 
-// ask queues an ask or refuses it at once.
-func (b *Coordinator) ask(now time.Time, h *host, a Request) {
-	if h.waits(a.ID) || b.calls[callKey{h.id, a.ID}] != nil {
-		return // listed again by a full frame
+// enqueue queues a request or refuses it immediately.
+func (b *Coordinator) enqueue(now time.Time, h *host, a Request) {
+	if h.isQueued(a.ID) || b.attempts[attemptKey{h.id, a.ID}] != nil {
+		return // repeated by a full frame
 	}
-	w := waiter{ask: a, since: now}
+	w := waiter{request: a, since: now}
 	if a.Remaining > 0 {
 		w.deadline = now.Add(a.Remaining)
 	}
@@ -206,72 +205,73 @@
 	b.queued++
 }
 
-// refusal tells whether an ask can not be served in time, or at all.
+// refusal returns the reason to refuse a request that can not meet its deadline, and whether
+// there is one.
 func (b *Coordinator) refusal(w *waiter) (outcome.Reason, bool) {
-	if w.ask.Remaining <= 0 || b.capacity == 0 {
+	if w.request.Remaining <= 0 || b.capacity == 0 {
 		return "", false
 	}
-	if b.service.RequiredTime(b.ExpectedWait()) > w.ask.Remaining {
+	if b.latencies.RequiredTime(b.ExpectedWait()) > w.request.Remaining {
 		return outcome.ReasonDeadline, true
 	}
 	return "", false
 }
 
-// ExpectedWait is how long an ask that came now would wait for a slot.
+// ExpectedWait returns how long a request that arrives now would wait for a slot.
 func (b *Coordinator) ExpectedWait() time.Duration {
-	free := b.capacity - len(b.calls)
+	free := b.capacity - len(b.attempts)
 	if free > b.queued || b.capacity == 0 {
 		return 0
 	}
-	return b.service.Mean() * time.Duration(b.queued) / time.Duration(b.capacity)
+	return b.latencies.Mean() * time.Duration(b.queued) / time.Duration(b.capacity)
 }
 
-// end gives back the slot of an attempt, or withdraws an ask.
-func (b *Coordinator) end(now time.Time, h *host, e Completion) {
-	c := b.calls[callKey{h.id, e.ID}]
+// complete releases the slot of an attempt, or withdraws a waiting request.
+func (b *Coordinator) complete(now time.Time, h *host, e Completion) {
+	c := b.attempts[attemptKey{h.id, e.ID}]
 	if c == nil {
 		if h.queue.remove(e.ID) {
 			b.queued--
 		}
 		return
 	}
-	b.learn(now, c, e)
+	b.observe(now, c, e)
 	b.release(now, c)
 }
 
-// release takes an attempt out of the state.
-func (b *Coordinator) release(now time.Time, c *call) {
-	delete(b.calls, callKey{c.host.id, c.id})
+// release removes an attempt.
+func (b *Coordinator) release(now time.Time, c *attempt) {
+	delete(b.attempts, attemptKey{c.host.id, c.id})
 	held := c.target.remove(c)
 	if !held {
-		invariant.Broken(invariant.SlotAccount, "attempt ended that "+string(c.target.id)+" does not hold")
+		invariant.Broken(invariant.SlotAccount, "ended attempt of target "+string(c.target.id)+" is not recorded there")
 	}
 	c.target.lastEnd = now
 	if !c.target.listed && c.target.inFlight() == 0 {
-		b.forgetTargets()
+		b.dropTargets()
 	}
-	*c = call{}
-	b.spare = append(b.spare, c)
+	*c = attempt{}
+	b.freeAttempts = append(b.freeAttempts, c)
 }
 
-// hold enters an attempt into the state.
-func (b *Coordinator) hold(h *host, id AttemptID, t *target, since time.Time, alone bool) *call {
-	var c *call
-	if n := len(b.spare); n > 0 {
-		c = b.spare[n-1]
-		b.spare = b.spare[:n-1]
+// add records an attempt in flight.
+func (b *Coordinator) add(h *host, id AttemptID, t *target, since time.Time, exclusive bool) *attempt {
+	var c *attempt
+	if n := len(b.freeAttempts); n > 0 {
+		c = b.freeAttempts[n-1]
+		b.freeAttempts = b.freeAttempts[:n-1]
 	} else {
-		c = new(call)
+		c = new(attempt)
 	}
-	*c = call{host: h, id: id, target: t, granted: since, alone: alone}
+	*c = attempt{host: h, id: id, target: t, granted: since, exclusive: exclusive}
 	c.since = b.clock.At(since)
 	c.queued = t.inFlight() >= b.slots
-	b.calls[callKey{h.id, id}] = c
+	b.attempts[attemptKey{h.id, id}] = c
 	t.add(c)
 	return c
 }
 
-// Next returns the time until Tick should run, 0 for never.
+// Next returns the time until Tick should run, 0 if it need not.
 func (b *Coordinator) Next() time.Duration {
 	switch {
 	case b.queued > 0:
@@ -283,18 +283,17 @@
 	}
 }
 
-// InFlight returns the attempts in the state.
-func (b *Coordinator) InFlight() int { return len(b.calls) }
+// InFlight returns the number of attempts in flight.
+func (b *Coordinator) InFlight() int { return len(b.attempts) }
 
-// Queued returns the asks that wait.
+// Queued returns the number of waiting requests.
 func (b *Coordinator) Queued() int { return b.queued }
 
-// Tick watches the passing of time: deadlines of asks, hosts that fell silent,
-// ejections that end.
+// Tick applies timeouts: deadlines of requests, silent hosts, and the ends of ejections.
 func (b *Coordinator) Tick(now time.Time) {
 	for i := len(b.hosts) - 1; i >= 0; i-- {
 		h := b.hosts[i]
-		if now.Sub(h.heard) > hostTimeout {
+		if now.Sub(h.lastHeard) > hostTimeout {
 			b.dropHost(now, h)
 			continue
 		}
@@ -302,23 +301,23 @@
 	}
 	b.dispatch(now)
 	for _, h := range b.hosts {
-		if h.queue.len() > 0 && now.Sub(h.told) >= aliveEvery {
-			h.alive = true
+		if h.queue.len() > 0 && now.Sub(h.lastSent) >= keepaliveInterval {
+			h.keepalive = true
 		}
 	}
 }
 
 func (b *Coordinator) expire(now time.Time, h *host) {
-	b.queued -= h.queue.keepWaiters(func(w *waiter) bool {
+	b.queued -= h.queue.retainWaiters(func(w *waiter) bool {
 		if w.deadline.IsZero() || now.Before(w.deadline) {
 			return true
 		}
-		h.refuse(w.ask.ID, outcome.ReasonQueueTimeout)
+		h.refuse(w.request.ID, outcome.ReasonQueueTimeout)
 		return false
 	})
 }
 
-// DropHost lets the attempts of a host lapse that is known to be gone.
+// DropHost removes a host that is known to be gone, with its attempts and requests.
 func (b *Coordinator) DropHost(now time.Time, id ports.HostID) {
 	if h := b.byHost[id]; h != nil {
 		b.dropHost(now, h)
@@ -327,7 +326,7 @@
 }
 
 func (b *Coordinator) dropHost(now time.Time, h *host) {
-	for _, c := range b.held(h) {
+	for _, c := range b.attemptsOf(h) {
 		b.release(now, c)
 	}
 	b.queued -= h.queue.len()
--- a/policy/grant/coordinator_test.go
+++ b/policy/grant/coordinator_test.go
@@ -15,12 +15,12 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// fixture drives a coordinator by hand.
+// fixture drives a coordinator directly, without a network or a clock.
 type fixture struct {
 	*Coordinator
-	now   time.Time
-	seq   map[ports.HostID]uint64
-	tells map[ports.HostID]Reply
+	now     time.Time
+	seq     map[ports.HostID]uint64
+	replies map[ports.HostID]Reply
 }
 
 func newFixture(targets, slots int) *fixture {
@@ -28,14 +28,14 @@
 		Coordinator: NewCoordinator(blackboard.ServiceKey{Workspace: "w", Service: "s"}, rand.New(rand.NewPCG(1, 1))),
 		now:         time.Unix(1000, 0),
 		seq:         make(map[ports.HostID]uint64),
-		tells:       make(map[ports.HostID]Reply),
+		replies:     make(map[ports.HostID]Reply),
 	}
 	d.Configure(&declare.Service{Slots: slots, ColdStart: 0})
 	d.list(targets, -1)
 	return d
 }
 
-// list lists this many targets; one may be leaving.
+// list sets this many targets, of which one may be leaving.
 func (d *fixture) list(targets, leaving int) {
 	list := make([]blackboard.Target, targets)
 	for i := range list {
@@ -46,101 +46,102 @@
 
 func targetID(i int) ports.HostID { return ports.HostID(fmt.Sprintf("t%03d", i)) }
 
-// tell delivers a frame and returns what the host hears, at once and in the
-// grants that others' frames set free later.
-func (d *fixture) tell(h ports.HostID, f Frame) Reply {
+// send delivers a frame and returns the reply to its host; flush collects the replies to all
+// hosts, which include grants that the frame made possible.
+func (d *fixture) send(h ports.HostID, f Frame) Reply {
 	d.seq[h]++
 	f.Epoch, f.Seq = 1, d.seq[h]
 	f.Full = f.Full || f.Seq == 1
 	d.Receive(d.now, h, f)
-	return d.hear(h)
+	return d.flush(h)
 }
 
-func (d *fixture) hear(h ports.HostID) Reply {
-	d.tells = make(map[ports.HostID]Reply)
+func (d *fixture) flush(h ports.HostID) Reply {
+	d.replies = make(map[ports.HostID]Reply)
 	d.Flush(d.now, func(to ports.HostID, t Reply) {
 		t.Grants = append([]Grant(nil), t.Grants...)
 		t.Refusals = append([]Refusal(nil), t.Refusals...)
-		d.tells[to] = t
+		d.replies[to] = t
 	})
-	return d.tells[h]
+	return d.replies[h]
 }
 
-func (d *fixture) ask(h ports.HostID, a Request) Reply { return d.tell(h, Frame{Requests: []Request{a}}) }
+func (d *fixture) request(h ports.HostID, a Request) Reply {
+	return d.send(h, Frame{Requests: []Request{a}})
+}
 
 func (d *fixture) finish(h ports.HostID, id AttemptID, class pick.Class) Reply {
-	return d.tell(h, Frame{Completions: []Completion{{ID: id, Class: class, Latency: 5 * time.Millisecond, Load: -1}}})
+	return d.send(h, Frame{Completions: []Completion{{ID: id, Class: class, Latency: 5 * time.Millisecond, Load: -1}}})
 }
 
-// warm lets the coordinator learn a service time of 5 ms.
+// warm makes the coordinator observe a service time of 5 ms.
 func (d *fixture) warm() {
 	for i := range 2 * minSamples {
 		id := AttemptID(1_000_000 + i)
-		d.ask("warm", Request{ID: id})
+		d.request("warm", Request{ID: id})
 		d.now = d.now.Add(5 * time.Millisecond)
 		d.finish("warm", id, pick.OK)
 	}
 }
 
-// A suspect must run alone. While both targets are busy it waits; meanwhile one
-// target gets no more, so that the others' calls can not put it off for ever.
-// As long as it runs, its target gets nothing else.
-func TestAskForATargetOfItsOwn(t *testing.T) {
+// A suspect request must run alone. While both targets are busy it waits and one target gets no
+// more attempts, so that other calls can not delay it forever. While it runs, its target gets
+// nothing else.
+func TestExclusiveRequestReservesATarget(t *testing.T) {
 	d := newFixture(2, 2)
-	d.ask("a", Request{ID: 1})
-	d.ask("a", Request{ID: 2})
-	assert.Equal(t, len(d.ask("b", Request{ID: 1, Exclusive: true}).Grants), 0)
+	d.request("a", Request{ID: 1})
+	d.request("a", Request{ID: 2})
+	assert.Equal(t, len(d.request("b", Request{ID: 1, Exclusive: true}).Grants), 0)
 	for id := AttemptID(3); id < 12; id++ {
-		d.ask("a", Request{ID: id})
+		d.request("a", Request{ID: id})
 	}
-	kept := d.reserved
-	assert.Equal(t, kept.inFlight(), 1)
-	d.finish("a", kept.calls[0].id, pick.OK)
-	assert.Equal(t, d.tells["b"].Grants[0].Target, kept.id)
+	reserved := d.reserved
+	assert.Equal(t, reserved.inFlight(), 1)
+	d.finish("a", reserved.attempts[0].id, pick.OK)
+	assert.Equal(t, d.replies["b"].Grants[0].Target, reserved.id)
 	for id := AttemptID(20); id < 30; id++ {
-		for _, g := range d.ask("a", Request{ID: id}).Grants {
-			assert.Check(t, g.Target != kept.id)
+		for _, g := range d.request("a", Request{ID: id}).Grants {
+			assert.Check(t, g.Target != reserved.id)
 		}
 	}
-	assert.Equal(t, kept.inFlight(), 1)
+	assert.Equal(t, reserved.inFlight(), 1)
 }
 
-func TestHedgeGetsAFreeSlotOrNothing(t *testing.T) {
+func TestHedgeIsRefusedWithoutAFreeSlot(t *testing.T) {
 	d := newFixture(2, 1)
-	first := d.ask("a", Request{ID: 1}).Grants[0].Target
-	second := d.ask("a", Request{ID: 2, Hedge: true, Avoid: []ports.HostID{first}}).Grants[0].Target
+	first := d.request("a", Request{ID: 1}).Grants[0].Target
+	second := d.request("a", Request{ID: 2, Hedge: true, Avoid: []ports.HostID{first}}).Grants[0].Target
 	assert.Check(t, second != first)
-	told := d.ask("a", Request{ID: 3, Hedge: true})
-	assert.Equal(t, len(told.Refusals), 1)
-	assert.Equal(t, told.Refusals[0].Reason, outcome.ReasonQueueFull)
+	reply := d.request("a", Request{ID: 3, Hedge: true})
+	assert.Equal(t, len(reply.Refusals), 1)
+	assert.Equal(t, reply.Refusals[0].Reason, outcome.ReasonQueueFull)
 }
 
 func TestAvoidedTargetIsTakenOnlyIfThereIsNoOther(t *testing.T) {
 	d := newFixture(2, 4)
 	for id := AttemptID(1); id < 4; id++ {
-		assert.Equal(t, d.ask("a", Request{ID: id, Avoid: []ports.HostID{targetID(0)}}).Grants[0].Target, targetID(1))
+		assert.Equal(t, d.request("a", Request{ID: id, Avoid: []ports.HostID{targetID(0)}}).Grants[0].Target, targetID(1))
 	}
 	d.list(2, 1)
-	assert.Equal(t, d.ask("a", Request{ID: 9, Avoid: []ports.HostID{targetID(0)}}).Grants[0].Target, targetID(0))
+	assert.Equal(t, d.request("a", Request{ID: 9, Avoid: []ports.HostID{targetID(0)}}).Grants[0].Target, targetID(0))
 }
 
-func TestTargetThatSaysItLeavesGetsNothingMore(t *testing.T) {
+func TestLeavingTargetGetsNoMoreAttempts(t *testing.T) {
 	d := newFixture(2, 4)
-	g := d.ask("a", Request{ID: 1}).Grants[0]
-	d.tell("a", Frame{Completions: []Completion{{ID: 1, Class: pick.OK, Latency: time.Millisecond, Load: -1, Leaving: true}}})
+	g := d.request("a", Request{ID: 1}).Grants[0]
+	d.send("a", Frame{Completions: []Completion{{ID: 1, Class: pick.OK, Latency: time.Millisecond, Load: -1, Leaving: true}}})
 	for id := AttemptID(2); id < 6; id++ {
-		assert.Check(t, d.ask("b", Request{ID: id}).Grants[0].Target != g.Target)
+		assert.Check(t, d.request("b", Request{ID: id}).Grants[0].Target != g.Target)
 	}
 }
 
-// Every target of three answers errors at once, as after a bad release. One is
-// left out; the cap keeps the other two in use, or the third of the targets
-// that still worked would get all the load.
+// Six of ten targets fail every call immediately, as after a bad release. The cap on ejections
+// keeps most of them in use, because otherwise the few that still work would get all the load.
 func TestEjectionHasACap(t *testing.T) {
 	d := newFixture(10, 2)
 	d.warm()
 	for id := AttemptID(1); id < 400; id++ {
-		for _, g := range d.ask("a", Request{ID: id}).Grants {
+		for _, g := range d.request("a", Request{ID: id}).Grants {
 			class := pick.OK
 			if g.Target < targetID(6) {
 				class = pick.Failed
@@ -152,25 +153,25 @@
 	assert.Equal(t, d.CountEjected(d.now), 3)
 }
 
-// A release is lost on the way. Its slot would stay taken for good; the next
-// full frame of the host does not list the attempt, which frees it.
-func TestFullFrameFreesWhatWasLost(t *testing.T) {
+// A release message is lost, which would occupy its slot forever. The next full frame of the host
+// does not list the attempt and so frees the slot.
+func TestFullFrameFreesSlotsOfLostReleases(t *testing.T) {
 	d := newFixture(1, 4)
-	d.ask("a", Request{ID: 1})
-	d.ask("a", Request{ID: 2})
+	d.request("a", Request{ID: 1})
+	d.request("a", Request{ID: 2})
 	d.now = d.now.Add(HeartbeatInterval)
-	d.tell("a", Frame{Full: true, InFlight: []OpenAttempt{{ID: 2, Target: targetID(0), Age: HeartbeatInterval}}})
+	d.send("a", Frame{Full: true, InFlight: []OpenAttempt{{ID: 2, Target: targetID(0), Age: HeartbeatInterval}}})
 	assert.Equal(t, d.InFlight(), 1)
 }
 
-// A host dies with grants in hand: it says nothing more, and what it held
-// lapses. A restart of the same host starts from nothing as well.
-func TestGrantsLapseWithTheirHost(t *testing.T) {
+// A host that crashes sends nothing more, and its attempts expire. A restart of a host ends the
+// attempts of its earlier run as well.
+func TestGrantsExpireWithTheirHost(t *testing.T) {
 	d := newFixture(1, 4)
-	d.ask("a", Request{ID: 1})
-	d.ask("b", Request{ID: 1})
+	d.request("a", Request{ID: 1})
+	d.request("b", Request{ID: 1})
 	d.now = d.now.Add(hostTimeout / 2)
-	d.tell("b", Frame{})
+	d.send("b", Frame{})
 	d.now = d.now.Add(hostTimeout/2 + time.Millisecond)
 	d.Tick(d.now)
 	assert.Equal(t, d.InFlight(), 1)
@@ -178,41 +179,41 @@
 	assert.Equal(t, d.InFlight(), 0)
 }
 
-func TestHostWithoutHistoryIsAskedForItsAttempts(t *testing.T) {
+func TestUnknownHostIsAskedForAFullFrame(t *testing.T) {
 	d := newFixture(1, 4)
 	d.Receive(d.now, "a", Frame{Epoch: 1, Seq: 7, Requests: []Request{{ID: 3}}})
-	told := d.hear("a")
+	told := d.flush("a")
 	assert.Equal(t, len(told.Grants), 1)
 	assert.Check(t, told.Resync)
 }
 
-// The list of this host lags and names no target, while the asking host knows
-// some. A refusal would be a lie; the asking host is sent back to choose alone.
+// The coordinator's target list is stale and empty while the requesting host knows some targets.
+// It must decline, so that the host chooses itself, and must not refuse.
 func TestCoordinatorWithoutTargetsDeclines(t *testing.T) {
 	d := newFixture(0, 1)
-	told := d.ask("a", Request{ID: 1})
+	told := d.request("a", Request{ID: 1})
 	assert.Check(t, told.Decline)
 	assert.Equal(t, len(told.Refusals), 0)
 }
 
-// One host asks for far more than its share. Its own asks wait; another host's
-// few asks come next although they came last.
+// One host requests far more than its share. Its own requests wait; a request of another host is
+// served soon although it came last.
 func TestFloodOfOneHostDelaysOnlyItself(t *testing.T) {
 	d := newFixture(2, 1)
 	d.warm()
 	for id := AttemptID(1); id <= 200; id++ {
-		d.ask("flood", Request{ID: id})
+		d.request("flood", Request{ID: id})
 	}
-	d.ask("calm", Request{ID: 1})
+	d.request("calm", Request{ID: 1})
 	served := 0
-	for served < 200 && len(d.tells["calm"].Grants) == 0 {
-		for _, c := range d.held(d.byHost["flood"])[:1] {
+	for served < 200 && len(d.replies["calm"].Grants) == 0 {
+		for _, c := range d.attemptsOf(d.byHost["flood"])[:1] {
 			d.finish("flood", c.id, pick.OK)
 			served++
 			d.now = d.now.Add(time.Millisecond)
 		}
 	}
-	assert.Check(t, served < 40, "%d asks of the flood went first", served)
+	assert.Check(t, served < 40, "%d requests of the flooding host were served first", served)
 }
 
 func TestColdTargetGetsAGrowingShare(t *testing.T) {
@@ -228,7 +229,7 @@
 	got := [2]int{}
 	for i := range 2000 {
 		id := AttemptID(i + 1)
-		for _, g := range d.ask("a", Request{ID: id}).Grants {
+		for _, g := range d.request("a", Request{ID: id}).Grants {
 			if g.Target == targetID(4) {
 				got[i/1000]++
 			}
@@ -245,9 +246,9 @@
 	d := newFixture(100, 2)
 	d.warm()
 	for id := AttemptID(1); id <= 100; id++ {
-		d.ask("warm", Request{ID: id})
+		d.request("warm", Request{ID: id})
 	}
-	d.hear("warm")
+	d.flush("warm")
 	return d, d.byHost["warm"]
 }
 
@@ -256,17 +257,17 @@
 	a := &Request{ID: 5000}
 	b.ReportAllocs()
 	for b.Loop() {
-		d.place(d.now, h, a)
+		d.pickTarget(d.now, h, a)
 	}
 }
 
-func BenchmarkChoiceWithBooks(b *testing.B) {
+func BenchmarkChoiceWithAccounting(b *testing.B) {
 	d, h := benchFixture()
 	a := &Request{ID: 5000}
 	b.ReportAllocs()
 	for b.Loop() {
-		t := d.place(d.now, h, a)
-		d.release(d.now, d.hold(h, a.ID, t, d.now, false))
+		t := d.pickTarget(d.now, h, a)
+		d.release(d.now, d.add(h, a.ID, t, d.now, false))
 	}
 }
 
@@ -276,32 +277,32 @@
 	h := d.byHost["warm"]
 	a := &Request{ID: 5000}
 	assert.Equal(t, testing.AllocsPerRun(100, func() {
-		d.release(d.now, d.hold(h, a.ID, d.place(d.now, h, a), d.now, false))
+		d.release(d.now, d.add(h, a.ID, d.pickTarget(d.now, h, a), d.now, false))
 	}), 0.0)
 }
 
-// A suspect waits for a target of its own, which takes as long as the calls on
-// it do. The calls behind it, of the same host, go on meanwhile.
-func TestWaitingSuspectHoldsUpNobody(t *testing.T) {
+// A suspect request waits for an idle target, which takes as long as the calls on it. Requests
+// behind it, of the same host, must not wait for it.
+func TestWaitingExclusiveRequestBlocksNoOther(t *testing.T) {
 	d := newFixture(2, 2)
-	d.ask("a", Request{ID: 1})
-	d.ask("a", Request{ID: 2})
-	assert.Equal(t, len(d.ask("a", Request{ID: 3, Exclusive: true}).Grants), 0)
-	assert.Equal(t, len(d.ask("a", Request{ID: 4}).Grants), 1)
+	d.request("a", Request{ID: 1})
+	d.request("a", Request{ID: 2})
+	assert.Equal(t, len(d.request("a", Request{ID: 3, Exclusive: true}).Grants), 0)
+	assert.Equal(t, len(d.request("a", Request{ID: 4}).Grants), 1)
 	d.finish("a", 4, pick.OK)
-	assert.Equal(t, len(d.ask("a", Request{ID: 5}).Grants), 1)
+	assert.Equal(t, len(d.request("a", Request{ID: 5}).Grants), 1)
 }
 
-// Two of five targets are down and refuse connections, too many for all to be
-// ejected. They look idle all the time. Each costs a caller one further attempt
-// now and then, not with every call.
+// Two of five targets are down and refuse connections, too many for both to be ejected, and
+// always look idle. They may cost a caller another attempt only occasionally, not with every
+// call.
 func TestTargetsThatAreDownAreTriedSeldom(t *testing.T) {
 	d := newFixture(5, 2)
 	d.warm()
 	refused := 0
 	for id := AttemptID(1); id <= 1000; id++ {
 		a := Request{ID: id, Exclusive: id%10 == 0}
-		g := d.ask("a", a).Grants[0]
+		g := d.request("a", a).Grants[0]
 		d.now = d.now.Add(time.Millisecond)
 		if g.Target <= targetID(1) {
 			refused++
@@ -313,18 +314,18 @@
 	assert.Check(t, refused <= 12, "%d of 1000 attempts were refused", refused)
 }
 
-// Calls come one after the other, so every target is idle when the next one
-// comes. A target answers one of them far too late: for as long as that took the
-// calls go to the other target, and after that it gets its share again.
-func TestOverdueAnswerIsHeldAgainstItsTarget(t *testing.T) {
+// Calls arrive one after the other, so every target is idle when the next one arrives. A target
+// whose response to one is overdue gets no calls for as long as that response took, and its usual
+// share after that.
+func TestOverdueResponsePenalizesItsTarget(t *testing.T) {
 	d := newFixture(2, 2)
 	d.warm()
 	next := AttemptID(1000)
 	call := func(took time.Duration) ports.HostID {
 		next++
-		at := d.ask("h1", Request{ID: next}).Grants[0].Target
+		at := d.request("h1", Request{ID: next}).Grants[0].Target
 		d.now = d.now.Add(took)
-		d.tell("h1", Frame{Completions: []Completion{{ID: next, Class: pick.OK, Latency: took, Load: -1}}})
+		d.send("h1", Frame{Completions: []Completion{{ID: next, Class: pick.OK, Latency: took, Load: -1}}})
 		return at
 	}
 	slow := call(time.Second)
--- a/policy/grant/host.go
+++ b/policy/grant/host.go
@@ -8,35 +8,35 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// host is an entry host as the coordinator sees it.
+// host is the coordinator's state of an entry host.
 type host struct {
 	id    ports.HostID
 	zone  zone
 	epoch uint64
 	seq   uint64
-	// known is set once a full frame told which attempts the host has.
-	known bool
-	heard time.Time
-	told  time.Time
-	queue queue
-	// paid is up to when the host's asks use up its share, see tag.
-	paid   time.Time
-	passed bool // in this round of dispatch
-
-	// What the next Tell carries.
-	grants   []Grant
-	refusals []Refusal
-	alive    bool
-	resync   bool
-	decline  bool
+	// synced is set once a full frame has listed the host's attempts.
+	synced    bool
+	lastHeard time.Time
+	lastSent  time.Time
+	queue     queue
+	// shareUsedUntil is the time up to which the host's requests use its fair share, see tag.
+	shareUsedUntil time.Time
+	skipped        bool // in this round of dispatch
+
+	// Content of the next reply.
+	grants    []Grant
+	refusals  []Refusal
+	keepalive bool
+	resync    bool
+	decline   bool
 }
 
-// host returns the record of a host. A later run of its daemon starts from
-// nothing: the attempts of the earlier run ended with it.
+// host returns the state of a host. A later run of its daemon starts from an empty state, since
+// the attempts of the earlier run ended with it.
 func (b *Coordinator) host(id ports.HostID, f Frame) *host {
 	h := b.byHost[id]
 	if h != nil && f.Epoch > h.epoch {
-		b.dropHost(h.heard, h)
+		b.dropHost(h.lastHeard, h)
 		h = nil
 	}
 	if h == nil {
@@ -47,7 +47,7 @@
 	return h
 }
 
-// Hosts returns the entry hosts in the state.
+// Hosts returns the known entry hosts.
 func (b *Coordinator) Hosts() []ports.HostID {
 	ids := make([]ports.HostID, len(b.hosts))
 	for i, h := range b.hosts {
@@ -56,20 +56,20 @@
 	return ids
 }
 
-func (h *host) waits(id AttemptID) bool { return h.queue.find(id) >= 0 }
+func (h *host) isQueued(id AttemptID) bool { return h.queue.find(id) >= 0 }
 
 func (h *host) refuse(id AttemptID, r outcome.Reason) {
 	h.refusals = append(h.refusals, Refusal{ID: id, Reason: r})
 }
 
-// Flush hands every message that is due to send and forgets it. The slices of
-// the message are only valid during the call.
+// Flush passes every pending reply to send and clears it. The slices of a reply are only valid
+// during the call.
 func (b *Coordinator) Flush(now time.Time, send func(to ports.HostID, t Reply)) {
 	for _, h := range b.hosts {
-		if len(h.grants) == 0 && len(h.refusals) == 0 && !h.alive && !h.resync && !h.decline {
+		if len(h.grants) == 0 && len(h.refusals) == 0 && !h.keepalive && !h.resync && !h.decline {
 			continue
 		}
-		h.told = now
+		h.lastSent = now
 		send(h.id, Reply{
 			Service:  b.key,
 			Epoch:    h.epoch,
@@ -80,21 +80,21 @@
 		})
 		h.grants = h.grants[:0]
 		h.refusals = h.refusals[:0]
-		h.alive = false
+		h.keepalive = false
 		h.resync = false
 		h.decline = false
 	}
 }
 
-// waiter is an ask that waits for a slot.
+// waiter is a request that waits for a slot.
 type waiter struct {
-	ask      Request
+	request  Request
 	since    time.Time
-	deadline time.Time // zero means none
-	tag      time.Time // the ask with the earliest is served first
+	deadline time.Time // zero if none
+	tag      time.Time // start tag: the request with the earliest is served first
 }
 
-// queue is the asks of one host, oldest first.
+// queue holds the waiting requests of one host, oldest first.
 type queue struct {
 	items []waiter
 	head  int
@@ -121,7 +121,7 @@
 
 func (q *queue) find(id AttemptID) int {
 	for i := q.head; i < len(q.items); i++ {
-		if q.items[i].ask.ID == id {
+		if q.items[i].request.ID == id {
 			return i
 		}
 	}
@@ -137,21 +137,21 @@
 	return true
 }
 
-func (q *queue) hasAlone() bool {
+func (q *queue) hasExclusive() bool {
 	for i := q.head; i < len(q.items); i++ {
-		if q.items[i].ask.Exclusive {
+		if q.items[i].request.Exclusive {
 			return true
 		}
 	}
 	return false
 }
 
-// keep drops the asks that f does not name and returns how many went.
-func (q *queue) keep(f func(AttemptID) bool) int {
-	return q.keepWaiters(func(w *waiter) bool { return f(w.ask.ID) })
+// retain drops the requests for which f returns false and returns how many it dropped.
+func (q *queue) retain(f func(AttemptID) bool) int {
+	return q.retainWaiters(func(w *waiter) bool { return f(w.request.ID) })
 }
 
-func (q *queue) keepWaiters(f func(*waiter) bool) int {
+func (q *queue) retainWaiters(f func(*waiter) bool) int {
 	kept := q.items[:0]
 	before := q.len()
 	for i := q.head; i < len(q.items); i++ {
--- a/policy/grant/stale.go
+++ b/policy/grant/stale.go
@@ -6,12 +6,12 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// staleAfter is the time without the end of an attempt after which nothing is
-// known of a target.
+// staleAfter is the time without a completed attempt after which the state of a target is
+// unknown.
 const staleAfter = time.Second
 
-// Stale returns the targets of which calls tell nothing: those that had none
-// for a while, and those left out. They are what a probe is worth spending on.
+// Stale returns the targets that calls give no information on: those without an attempt for a
+// while, and ejected ones. Probes are best spent on them.
 func (b *Coordinator) Stale(now time.Time) []ports.HostID {
 	var out []ports.HostID
 	for _, t := range b.targets {
@@ -26,8 +26,8 @@
 	return out
 }
 
-// RecordProbe takes the result of a probe. A good answer ends an ejection early; a
-// bad one ejects nothing, since health endpoints lag and mislead.
+// RecordProbe records the result of a probe. A successful one ends an ejection early; a failed
+// one ejects nothing, since health endpoints lag and mislead.
 func (b *Coordinator) RecordProbe(now time.Time, id ports.HostID, ok bool, load int) {
 	t := b.byID[id]
 	if t == nil {
@@ -36,15 +36,15 @@
 	t.lastEnd = now
 	t.health.RecordProbe(now, ok)
 	if load >= 0 {
-		t.foreign = max(load-t.inFlight(), 0)
-		t.foreignAt = b.clock.At(now)
+		t.otherLoad = max(load-t.inFlight(), 0)
+		t.otherLoadAt = b.clock.At(now)
 	}
 	b.dispatch(now)
 }
 
 // TakeEjected returns the targets that were ejected since the last call.
 func (b *Coordinator) TakeEjected() []ports.HostID {
-	out := b.newlyOut
-	b.newlyOut = nil
+	out := b.newlyEjected
+	b.newlyEjected = nil
 	return out
 }
--- a/policy/grant/target.go
+++ b/policy/grant/target.go
@@ -10,157 +10,157 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// target is a target as the coordinator sees it.
+// target is the coordinator's state of a target.
 type target struct {
-	// What every choice reads stands first, to fit into one cache line.
-	open    bool // listed, not leaving, and not kept for one attempt alone
-	doubted bool // health has something to say
-	zone    zone
-	foreign int // attempts of others that the target last reported
-	calls   []*call
-	oldest  instant.Time // grant of the oldest attempt
-	// restUntil is the end of the time in which the target gets no more than
-	// restLimit attempts, since it refused one.
-	restUntil instant.Time
-	restLimit int
-	refusals  health.Refusals
-	slowUntil instant.Time // until then an overdue answer is held against it
-
-	id        ports.HostID
-	listed    bool
-	leaving   bool
-	alone     bool // its attempt must stay the only one
-	firstSeen time.Time
-	health    health.State
-	lastGrant time.Time
-	lastEnd   time.Time
-	foreignAt instant.Time
+	// The fields that every choice reads come first, to share one cache line.
+	available   bool // listed, not leaving, and not running an exclusive attempt
+	impaired    bool // ejected or on trial
+	zone        zone
+	otherLoad   int // attempts of others, by the target's last report
+	attempts    []*attempt
+	oldestGrant instant.Time // when the oldest attempt was granted
+	// Until backoffUntil the target gets no more than backoffLimit attempts, because it refused
+	// one.
+	backoffUntil instant.Time
+	backoffLimit int
+	refusals     health.Refusals
+	slowUntil    instant.Time // penalized until then for an overdue response
+
+	id          ports.HostID
+	listed      bool
+	leaving     bool
+	exclusive   bool // runs an exclusive attempt
+	firstSeen   time.Time
+	health      health.State
+	lastGrant   time.Time
+	lastEnd     time.Time
+	otherLoadAt instant.Time
 }
 
-// zone stands for the name of an availability zone; see Coordinator.zone.
+// zone is the number of an availability zone; see Coordinator.zone.
 type zone uint16
 
-func (t *target) inFlight() int { return len(t.calls) }
+func (t *target) inFlight() int { return len(t.attempts) }
 
 // usable reports whether the target may get attempts at all.
 func (t *target) usable() bool { return t.listed && !t.leaving }
 
-// setOpen brings open up to date after a change of what it depends on.
-func (t *target) setOpen() { t.open = t.usable() && !t.alone }
+// updateAvailable recomputes available after a change of what it depends on.
+func (t *target) updateAvailable() { t.available = t.usable() && !t.exclusive }
 
-func (t *target) add(c *call) {
-	t.calls = append(t.calls, c)
-	t.alone = t.alone || c.alone
-	t.setOpen()
-	if len(t.calls) == 1 || c.since < t.oldest {
-		t.oldest = c.since
+func (t *target) add(c *attempt) {
+	t.attempts = append(t.attempts, c)
+	t.exclusive = t.exclusive || c.exclusive
+	t.updateAvailable()
+	if len(t.attempts) == 1 || c.since < t.oldestGrant {
+		t.oldestGrant = c.since
 	}
 }
 
-// remove takes an attempt off the target and reports whether it was there.
-func (t *target) remove(c *call) bool {
-	i := slices.Index(t.calls, c)
+// remove removes an attempt and reports whether the target held it.
+func (t *target) remove(c *attempt) bool {
+	i := slices.Index(t.attempts, c)
 	if i < 0 {
 		return false
 	}
-	t.calls = slices.Delete(t.calls, i, i+1)
-	t.alone = false
-	t.oldest = 0
-	for i, x := range t.calls {
-		t.alone = t.alone || x.alone
-		if i == 0 || x.since < t.oldest {
-			t.oldest = x.since
+	t.attempts = slices.Delete(t.attempts, i, i+1)
+	t.exclusive = false
+	t.oldestGrant = 0
+	for i, x := range t.attempts {
+		t.exclusive = t.exclusive || x.exclusive
+		if i == 0 || x.since < t.oldestGrant {
+			t.oldestGrant = x.since
 		}
 	}
-	t.setOpen()
+	t.updateAvailable()
 	return true
 }
 
-// foreignFor is how long a reported load of others is believed.
-const foreignFor = 20 * time.Millisecond
+// otherLoadTTL is how long a reported load of others is used.
+const otherLoadTTL = 20 * time.Millisecond
 
-// learn takes what the end of an attempt says about its target.
-func (b *Coordinator) learn(now time.Time, c *call, e Completion) {
+// observe applies what the result of an attempt says about its target.
+func (b *Coordinator) observe(now time.Time, c *attempt, e Completion) {
 	t := c.target
 	if e.Leaving || e.Class == pick.Leaving {
-		b.leave(t)
+		b.markLeaving(t)
 	}
 	switch e.Class {
 	case pick.OK:
 		t.refusals.Answered()
-		if !c.queued || b.service.Count() < minSamples {
-			b.service.Observe(e.Latency)
+		if !c.queued || b.latencies.Count() < minSamples {
+			b.latencies.Observe(e.Latency)
 		}
-		b.learnGap(now, c, e)
-		b.record(now, t, false)
-		b.learnSlow(now, t, e.Latency)
+		b.updateTurnaround(now, c, e)
+		b.recordResult(now, t, false)
+		b.markSlow(now, t, e.Latency)
 	case pick.Failed, pick.TimedOut:
-		b.record(now, t, true)
+		b.recordResult(now, t, true)
 	case pick.BrokeOff, pick.Foreign, pick.NotSent:
-		b.record(now, t, true)
-		b.rest(now, t)
+		b.recordResult(now, t, true)
+		b.backOff(now, t)
 	case pick.Shed:
-		b.rest(now, t)
+		b.backOff(now, t)
 	}
 	if e.Load >= 0 && e.Class != Unused {
-		t.foreign = max(e.Load-t.inFlight(), 0)
-		t.foreignAt = b.clock.At(now)
+		t.otherLoad = max(e.Load-t.inFlight(), 0)
+		t.otherLoadAt = b.clock.At(now)
 	}
 }
 
-// maxSlow bounds how long one overdue answer is held against a target.
+// maxSlow is the longest time that one overdue response counts against a target.
 const maxSlow = 2 * time.Second
 
-// learnSlow remembers a target whose answer was overdue for as long as it took.
-// At low load every target is idle again when the next call comes, and nothing in
-// flight tells the straggler from the others: it would get its even share of the
-// calls, and each of them its delay.
-func (b *Coordinator) learnSlow(now time.Time, t *target, took time.Duration) {
+// markSlow penalizes a target whose response was overdue, for as long as the response took. At
+// low load every target is idle again when the next call arrives, and no attempt in flight
+// reveals the straggler: without this it would get its even share of the calls and delay each of
+// them.
+func (b *Coordinator) markSlow(now time.Time, t *target, took time.Duration) {
 	if d := b.overdueAfter(); d > 0 && took > d {
 		t.slowUntil = b.clock.At(now).Add(min(took, maxSlow))
 	}
 }
 
-// rest keeps more attempts than now are in flight off a target for a while.
-func (b *Coordinator) rest(now time.Time, t *target) {
-	t.restUntil = b.clock.At(now).Add(t.refusals.Refused())
-	t.restLimit = t.inFlight() - 1 // the one that ends is still among them
+// backOff caps the attempts on a target at those in flight now, for a while.
+func (b *Coordinator) backOff(now time.Time, t *target) {
+	t.backoffUntil = b.clock.At(now).Add(t.refusals.Refused())
+	t.backoffLimit = t.inFlight() - 1 // excluding the attempt that is ending
 }
 
-func (b *Coordinator) leave(t *target) {
+func (b *Coordinator) markLeaving(t *target) {
 	if t.leaving {
 		return
 	}
 	t.leaving = true
-	t.setOpen()
+	t.updateAvailable()
 	if b.reserved == t {
 		b.reserved = nil
 	}
-	b.count()
+	b.updateCapacity()
 }
 
-// learnGap learns how long a slot stands empty between two attempts because
-// grant and release are on their way. The release tells how long the attempt
-// took at the entry host; the rest of the time from the grant was the journey.
-func (b *Coordinator) learnGap(now time.Time, c *call, e Completion) {
-	gap := now.Sub(c.granted) - e.Latency
-	if gap < 0 || gap > maxGap {
+// updateTurnaround updates the time that a slot is idle between two attempts while release and
+// grant are in transit. The completion says how long the attempt took at the entry host; the rest
+// of the time since the grant was spent in transit.
+func (b *Coordinator) updateTurnaround(now time.Time, c *attempt, e Completion) {
+	sample := now.Sub(c.granted) - e.Latency
+	if sample < 0 || sample > maxTurnaround {
 		return
 	}
-	b.gap += (gap - b.gap) / 64
+	b.turnaround += (sample - b.turnaround) / 64
 }
 
-func (b *Coordinator) record(now time.Time, t *target, failed bool) {
+func (b *Coordinator) recordResult(now time.Time, t *target, failed bool) {
 	b.failures.Record(failed)
-	t.doubted = t.health.Ejected(now) || t.health.OnTrial()
+	t.impaired = t.health.Ejected(now) || t.health.OnTrial()
 	if t.health.Record(now, failed, &b.failures) && health.MayEject(b.CountEjected(now), len(b.targets)) {
 		t.health.Eject(now, b.rng)
-		t.doubted = true
-		b.newlyOut = append(b.newlyOut, t.id)
+		t.impaired = true
+		b.newlyEjected = append(b.newlyEjected, t.id)
 	}
 }
 
-// CountEjected returns how many targets are left out at present.
+// CountEjected returns the number of targets that are ejected now.
 func (b *Coordinator) CountEjected(now time.Time) int {
 	n := 0
 	for _, t := range b.targets {
