--- a/policy/health/health.go
+++ b/policy/health/health.go
@@ -1,6 +1,9 @@
-// Package health decides from the ends of calls when a target is left out for
-// a while and when it is tried again. It looks at calls alone: health
-// endpoints lag and mislead, so they never eject a target.
+// Package health implements passive health checking: it decides from the results of calls when a
+// target is ejected for a while and when it is tried again. Health endpoints lag and mislead, so
+// a failed probe never ejects a target.
+//
+// State tracks one target and Service the failure rate over all of them; a target is ejected only
+// if it fails clearly more often than its service.
 package health
 
 import (
@@ -9,103 +12,104 @@
 )
 
 const (
-	minSamples = 5    // ends before the share of failures says anything
-	failWeight = 0.2  // weight of one end in the share of failures
-	ejectShare = 0.6  // share of failures that ejects
-	worseBy    = 0.3  // how much worse than the service a target must be
-	maxEjected = 0.34 // share of the targets that may be out at once
+	minResults      = 5    // results before the failure rate is significant
+	resultWeight    = 0.2  // weight of one result in the failure rate
+	ejectRate       = 0.6  // failure rate that ejects
+	minExcess       = 0.3  // how much higher than the service's the rate must be
+	maxEjectedShare = 0.34 // share of the targets that may be ejected at once
 
-	firstEjection = time.Second
-	maxEjection   = 30 * time.Second
-	trialCalls    = 3 // whole answers in a row that end a trial
+	firstEjection  = time.Second
+	maxEjection    = 30 * time.Second
+	trialSuccesses = 3 // consecutive successes that end a trial
 )
 
-// State is what is known of one target. The zero value is a healthy target.
+// State is the health of one target. The zero value is a healthy target.
 type State struct {
-	fail     float64 // recent share of failures
-	samples  int
-	until    time.Time // end of the ejection
-	times    int       // ejections in a row
-	trial    bool
-	answered int // whole answers during a trial
+	failRate     float64 // moving average of the failure rate
+	samples      int
+	ejectedUntil time.Time // end of the ejection
+	ejections    int       // ejections in a row
+	trial        bool
+	successes    int // successes during the trial
 }
 
-// Service is the recent share of failures over all targets of a service. A
-// request that every target answers with an error is no reason to eject any.
+// Service is the recent failure rate over all targets of a service. A request that fails on every
+// target is no reason to eject any of them.
 type Service struct {
-	fail    float64
-	samples int
+	failRate float64
+	samples  int
 }
 
-// Record adds the end of one call to the service's share of failures.
+// Record adds the result of one call to the service's failure rate.
 func (s *Service) Record(failed bool) {
 	s.samples++
-	s.fail += (toShare(failed) - s.fail) * max(0.01, 1/float64(s.samples))
+	s.failRate += (toRate(failed) - s.failRate) * max(0.01, 1/float64(s.samples))
 }
 
-func toShare(failed bool) float64 {
+func toRate(failed bool) float64 {
 	if failed {
 		return 1
 	}
 	return 0
 }
 
-// Record adds the end of one call. It reports whether the target should now be
-// ejected, which the caller does with Eject if Allowed.
+// Record adds the result of one call. It reports whether the target should now be ejected, which
+// the caller does with Eject if MayEject allows it.
 func (s *State) Record(now time.Time, failed bool, svc *Service) bool {
 	if s.Ejected(now) {
-		return false // a late end of a call from before the ejection
+		return false // delayed result of a call from before the ejection
 	}
 	s.samples++
-	s.fail += (toShare(failed) - s.fail) * max(failWeight, 1/float64(s.samples))
+	s.failRate += (toRate(failed) - s.failRate) * max(resultWeight, 1/float64(s.samples))
 	if s.trial {
 		return s.recordTrial(failed)
 	}
-	if s.samples < minSamples || s.fail < ejectShare {
+	if s.samples < minResults || s.failRate < ejectRate {
 		return false
 	}
-	return s.fail > svc.fail+worseBy
+	return s.failRate > svc.failRate+minExcess
 }
 
 func (s *State) recordTrial(failed bool) bool {
 	if failed {
 		return true
 	}
-	s.answered++
-	if s.answered >= trialCalls {
+	s.successes++
+	if s.successes >= trialSuccesses {
 		*s = State{}
 	}
 	return false
 }
 
-// MayEject reports whether one more of total targets may be ejected. The cap
-// keeps a fault that many targets share from crushing the rest with the load of
-// all: above it, failing targets go on being used.
+// MayEject reports whether one more of total targets may be ejected. The cap keeps a fault that
+// many targets share from putting the load of all on the rest: beyond it, failing targets stay in
+// use.
 func MayEject(ejected, total int) bool {
-	return float64(ejected+1) <= maxEjected*float64(total) || (ejected == 0 && total >= 2)
+	return float64(ejected+1) <= maxEjectedShare*float64(total) || (ejected == 0 && total >= 2)
 }
 
-// Eject leaves the target out, for longer each time it fails its trial.
+// Eject ejects the target, with a period that doubles each time it fails its trial and is
+// jittered.
 func (s *State) Eject(now time.Time, rng *rand.Rand) {
-	d := min(firstEjection<<min(s.times, 10), maxEjection)
+	d := min(firstEjection<<min(s.ejections, 10), maxEjection)
 	jitter := time.Duration(rng.Int64N(int64(d) / 4))
-	s.until = now.Add(d + jitter)
-	s.times++
+	s.ejectedUntil = now.Add(d + jitter)
+	s.ejections++
 	s.trial = true
-	s.answered = 0
+	s.successes = 0
 }
 
-// Ejected reports whether the target is left out now.
-func (s *State) Ejected(now time.Time) bool { return now.Before(s.until) }
+// Ejected reports whether the target is ejected now.
+func (s *State) Ejected(now time.Time) bool { return now.Before(s.ejectedUntil) }
 
-// OnTrial reports whether the target came back from an ejection and has yet to
-// prove itself; it runs one call at a time until then.
+// OnTrial reports whether the target has been ejected and not yet recovered; until then it gets
+// one call at a time.
 func (s *State) OnTrial() bool { return s.trial }
 
-// RecordProbe takes the answer of a health endpoint. A good one ends an ejection
-// early and starts the trial; a bad one changes nothing.
+// RecordProbe applies the result of a health check. A success ends an ejection early and starts
+// the trial; a failure changes nothing.
 func (s *State) RecordProbe(now time.Time, ok bool) {
 	if ok && s.Ejected(now) {
-		s.until = now
+		s.ejectedUntil = now
 	}
 }
--- a/policy/health/health_test.go
+++ b/policy/health/health_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestTrialEndsWithAnswersOrWithALongerEjection(t *testing.T) {
+func TestTrialEndsWithSuccessesOrALongerEjection(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var svc Service
 	for range 100 {
@@ -35,11 +35,11 @@
 	assert.Check(t, s.Ejected(noon.Add(firstEjection-1)))
 	later := noon.Add(2 * firstEjection)
 	assert.Check(t, s.OnTrial() && !s.Ejected(later))
-	assert.Check(t, s.Record(later, true, &svc), "a failure in the trial ejects again")
+	assert.Check(t, s.Record(later, true, &svc), "a failure during the trial ejects again")
 	s.Eject(later, rng)
 	assert.Check(t, s.Ejected(later.Add(2*firstEjection-1)))
 	later = later.Add(3 * firstEjection)
-	for range trialCalls {
+	for range trialSuccesses {
 		assert.Check(t, !s.Record(later, false, &svc))
 	}
 	assert.Equal(t, s, State{})
--- a/policy/health/refusals.go
+++ b/policy/health/refusals.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// firstRest is how long a refusal by the target is held against it.
-	firstRest = 50 * time.Millisecond
-	// maxDoublings bounds how often that time doubles.
+	// baseBackoff is the backoff after the first refusal.
+	baseBackoff = 50 * time.Millisecond
+	// maxDoublings limits how often the backoff doubles.
 	maxDoublings = 4
 )
 
-// Refusals counts in a row what a target did not take: calls that it shed, and
-// those for which it gave no connection or broke it off.
+// Refusals counts consecutive calls that a target did not accept: those that it shed, and those
+// for which no connection was established or the connection broke.
 type Refusals int
 
-// Refused notes a refusal and returns how long to keep off the target: longer
-// for each in a row. A target that refuses at once, or is down, looks idle, and
-// without this it would draw most calls of a service to itself, each of which
-// then has to go elsewhere. It is no ejection and has no cap: what refuses calls
-// is no help to the others.
+// Refused records a refusal and returns how long to back off from the target, which doubles with
+// each consecutive one. A target that refuses immediately, or is down, looks idle: without a
+// backoff it would attract most calls of a service, each of which then has to be retried
+// elsewhere. Unlike an ejection the backoff has no cap on the number of targets, since a target
+// that refuses calls does not relieve the others.
 func (r *Refusals) Refused() time.Duration {
-	d := firstRest << min(int(*r), maxDoublings)
+	d := baseBackoff << min(int(*r), maxDoublings)
 	*r++
 	return d
 }
 
-// Answered notes an answer.
+// Answered resets the count after a response.
 func (r *Refusals) Answered() { *r = 0 }
--- a/policy/instant/elapsed_test.go
+++ b/policy/instant/elapsed_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// The monotonic clock stands still while a machine is suspended: what was known before is as old
-// as the wall clock has it.
-func TestElapsedGoesByTheLongerClock(t *testing.T) {
+// The monotonic clock stops while a machine is suspended, so the elapsed time has to come from
+// the wall clock.
+func TestElapsedUsesTheLongerOfBothClocks(t *testing.T) {
 	from := time.Now()
 	assert.Equal(t, Elapsed(from, from.Add(time.Second)), time.Second)
 	wall := from.Add(5 * time.Second).Round(0)
--- a/policy/instant/instant.go
+++ b/policy/instant/instant.go
@@ -1,26 +1,26 @@
-// Package instant has a compact time. A choice looks at several times of every
-// target; comparing values of time.Time would take most of it.
+// Package instant provides a compact representation of time. Choosing a target compares several
+// times per target; with time.Time these comparisons would dominate its cost.
 package instant
 
 import "time"
 
-// Time is a time in nanoseconds since the first one its Clock was asked for.
+// Time is the number of nanoseconds since the first time that its Clock converted.
 type Time int64
 
-// Add returns the time d later.
+// Add returns t+d.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
 
-// Sub returns the duration since an earlier time.
+// Sub returns the duration from earlier to t.
 func (t Time) Sub(earlier Time) time.Duration { return time.Duration(t - earlier) }
 
-// Clock converts times. It keeps to the monotonic clock: by the wall clock, a
-// step back of an hour would hold a sign of 50 ms against a target for an hour.
-type Clock struct{ base time.Time }
+// Clock converts values of time.Time. It uses the monotonic clock: with the wall clock, a step
+// back of an hour would extend a penalty of 50 ms to an hour.
+type Clock struct{ origin time.Time }
 
-// At returns t as a Time.
+// At converts t. The first call sets the origin.
 func (c *Clock) At(t time.Time) Time {
-	if c.base.IsZero() {
-		c.base = t
+	if c.origin.IsZero() {
+		c.origin = t
 	}
-	return Time(t.Sub(c.base))
+	return Time(t.Sub(c.origin))
 }
--- a/policy/latency/latency_test.go
+++ b/policy/latency/latency_test.go
@@ -21,21 +21,21 @@
 	within(t, tr.P95(), 5*time.Millisecond)
 }
 
-// within allows for the width of a bucket.
+// within checks that got is near want, with a tolerance of the width of a bucket.
 func within(t *testing.T, got, want time.Duration) {
 	t.Helper()
-	assert.Check(t, got >= want*85/100 && got <= want*115/100, "%s is not near %s", got, want)
+	assert.Check(t, got >= want*85/100 && got <= want*115/100, "got %s, want about %s", got, want)
 }
 
-func TestEveryLatencyHasABucketBelowItsEdge(t *testing.T) {
+func TestEveryLatencyIsWithinTheBoundsOfItsBucket(t *testing.T) {
 	for d := time.Duration(1); d < time.Minute; d = d*3/2 + 1 {
 		i := bucket(d)
-		assert.Check(t, d < edge(i), "%s is not below the edge %s of its bucket", d, edge(i))
-		assert.Check(t, i == 0 || d >= edge(i-1), "%s is below its bucket %d", d, i)
+		assert.Check(t, d < upperBound(i), "%s is not below the upper bound %s of its bucket", d, upperBound(i))
+		assert.Check(t, i == 0 || d >= upperBound(i-1), "%s is below the lower bound of its bucket %d", d, i)
 	}
 }
 
-func TestAWaitAsksForMoreRoom(t *testing.T) {
+func TestAWaitRequiresMoreTime(t *testing.T) {
 	var tr Tracker
 	for i := range 1000 {
 		tr.Observe(time.Duration(i%100+1) * time.Millisecond)
