--- a/policy/placement/decide.go
+++ b/policy/placement/decide.go
@@ -1,49 +1,48 @@
 package placement
 
-// goodCost is the cost at which a target is taken at once: a slot is free there, and the
-// work takes little longer than usual.
-const goodCost = 1.6
+// takeAtOnceCost is the cost up to which a target is taken at once: it has a free slot, and
+// service takes little longer than usual.
+const takeAtOnceCost = 1.6
 
-// Fallback is what a choice can do if it does not take the best target it has seen.
+// Fallback is what a choice can do instead of taking the best target found so far.
 type Fallback uint8
 
 const (
-	// ProbeOtherZones: targets of other availability zones were not probed yet.
+	// ProbeOtherZones means that targets of other availability zones have not been probed yet.
 	ProbeOtherZones Fallback = iota
-	// WaitForBetter: a better target may turn up in a moment.
+	// WaitForBetter means that the choice may wait for a better target.
 	WaitForBetter
-	// NoFallback: nothing.
+	// NoFallback means that there is no other option.
 	NoFallback
 )
 
-// Decision is what becomes of a call.
+// Decision is the outcome of one step of a choice.
 type Decision uint8
 
 const (
 	// Take sends the call to the best target.
 	Take Decision = iota
-	// Continue does what may come next.
+	// Continue proceeds with the Fallback.
 	Continue
-	// Refuse tells the caller at once that the call does not run.
+	// Refuse rejects the call immediately.
 	Refuse
 )
 
-// Decide decides from the cost of the best target that was probed, and whether a call there
-// would be answered in time.
+// Decide returns the next step from the cost of the best probed target, whether sending the call
+// there is worthwhile, and what can be done instead.
 //
-// It answers more calls than the targets can run. Then the best target of all that could
-// be probed has a queue that leads to a late answer, and a call that waits for a better one
-// takes the slot that another would have got in time, or is refused later. Refused at once
-// it comes again sooner, or elsewhere.
-func Decide(cost float64, worthwhile bool, next Fallback) Decision {
+// Under overload even the best target that can be probed has a queue that leads to a late
+// response. A call that waits for a better one takes a slot in which another could have been in
+// time, or is refused later. Refused at once, it can be retried sooner or elsewhere.
+func Decide(cost float64, worthwhile bool, fallback Fallback) Decision {
 	switch {
-	case cost <= goodCost && worthwhile:
+	case cost <= takeAtOnceCost && worthwhile:
 		return Take
-	case next == ProbeOtherZones:
+	case fallback == ProbeOtherZones:
 		return Continue
 	case !worthwhile:
 		return Refuse
-	case next == WaitForBetter:
+	case fallback == WaitForBetter:
 		return Continue
 	default:
 		return Take
--- a/policy/placement/decide_test.go
+++ b/policy/placement/decide_test.go
@@ -6,13 +6,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// A call is never refused while targets of other zones were not asked, never waits where
-// no answer could be in time, and takes what there is once it may not wait any more.
+// A call must not be refused while targets of other zones are unprobed, must not wait where no
+// response could be in time, and must take the best target once it may not wait any more.
 func TestDecide(t *testing.T) {
 	for _, c := range []struct {
 		cost       float64
 		worthwhile bool
-		next       Fallback
+		fallback   Fallback
 		want       Decision
 	}{
 		{1, true, ProbeOtherZones, Take},
@@ -26,6 +26,6 @@
 		{3, false, WaitForBetter, Refuse},
 		{3, false, NoFallback, Refuse},
 	} {
-		assert.Equal(t, Decide(c.cost, c.worthwhile, c.next), c.want, "%+v", c)
+		assert.Equal(t, Decide(c.cost, c.worthwhile, c.fallback), c.want, "%+v", c)
 	}
 }
--- a/policy/placement/probing.go
+++ b/policy/placement/probing.go
@@ -3,44 +3,45 @@
 import "time"
 
 const (
-	// MaxProbes is how many targets of the own zone, and then of others, are probed for
-	// one choice. More tell little more about the best of them, and use up the quota of
-	// probes under load; fewer miss the free ones.
+	// MaxProbes is the number of targets of the host's zone, and then of other zones, that are
+	// probed for one choice. More add little about the best of them and use up the probe budget
+	// under load; fewer miss the free ones.
 	MaxProbes = 4
-	// leastWidth is how many are probed when the quota of probes is nearly used up,
-	// widthAgain how many by a choice that waited.
-	leastWidth = 2
-	widthAgain = 3
-	// ProbeTimeout is how long a choice waits for answers; one inside a region takes
-	// 1 to 3 ms.
+	// minProbes is the number of probes when the budget is nearly used up, and reprobes that of a
+	// choice that has waited.
+	minProbes = 2
+	reprobes  = 3
+	// ProbeTimeout is how long a choice waits for probe responses; one within a region takes 1 to
+	// 3 ms.
 	ProbeTimeout = 12 * time.Millisecond
-	// WaitInterval is how long a choice waits for a better target, maxWaits how often at most.
+	// WaitInterval is how long a choice waits for a better target before it probes again, and
+	// waitLimit how often at most.
 	WaitInterval = 20 * time.Millisecond
-	waitLimit  = 6
+	waitLimit    = 6
 )
 
-// ProbeCount is how many targets of a zone are probed by a choice that waited some times, with
-// some part, 0 to 1, of a second's probes left. A choice that waited asks the best few
-// again.
+// ProbeCount returns the number of targets of a zone to probe for a choice that has waited waits
+// times, with the fraction left, 0 to 1, of a second's probe budget. A choice that has waited
+// probes the best few targets again.
 //
-// It answers more calls than there are probes. When the quota runs low each choice probes
-// fewer, so that none has to do without and goes by a guess.
+// With a low budget each choice probes fewer targets, so that none has to go without and guess.
 func ProbeCount(waits int, left float64) int {
 	if waits > 0 {
-		return widthAgain
+		return reprobes
 	}
-	return max(leastWidth, int(MaxProbes*left))
+	return max(minProbes, int(MaxProbes*left))
 }
 
-// leastLeft is the part of a second's probes below which nearly every one is refused.
-const leastLeft = 0.05
+// minLeft is the fraction of a second's probe budget below which nearly every probe is refused.
+const minLeft = 0.05
 
-// ProbesExhausted reports whether a host with some part of a second's probes left may hardly probe.
-func ProbesExhausted(left float64) bool { return left < leastLeft }
+// ProbesExhausted reports whether the fraction left of a second's probe budget is too small to
+// probe.
+func ProbesExhausted(left float64) bool { return left < minLeft }
 
-// MaxWaits is how often a choice may wait for a better target where a call usually takes
-// some time: for half of that, once at least. Beyond that the wait costs more than a better
-// target saves.
-func MaxWaits(work time.Duration) int {
-	return min(max(int(work/2/WaitInterval), 1), waitLimit)
+// MaxWaits returns how often a choice may wait for a better target where a call usually takes
+// serviceTime: for half of that time in all, but at least once. Beyond that the wait costs more
+// than a better target saves.
+func MaxWaits(serviceTime time.Duration) int {
+	return min(max(int(serviceTime/2/WaitInterval), 1), waitLimit)
 }
--- a/policy/placement/silent.go
+++ b/policy/placement/silent.go
@@ -7,45 +7,46 @@
 )
 
 const (
-	// usualShare is the share of answers to probes that come sooner than the usual
-	// time: most targets are well most of the time, and those that are not take longer.
-	usualShare = 0.4
-	// usualStep is by how much one answer moves the usual time: 20 answers of one kind
-	// double or halve it.
-	usualStep = 0.05
-	// leastUsual bounds the usual time from below, so that clocks of a coarse step and
-	// targets next door do not make each wait look endless.
-	leastUsual = 500 * time.Microsecond
+	// typicalQuantile is the quantile that the typical probe time approximates: most targets are
+	// healthy most of the time, and the others take longer.
+	typicalQuantile = 0.4
+	// typicalStep is the relative change that one response makes to the typical time: 20
+	// responses in the same direction double or halve it.
+	typicalStep = 0.05
+	// minTypical is the lower bound of the typical time, so that coarse clocks and very close
+	// targets do not make every delay look extreme.
+	minTypical = 500 * time.Microsecond
 )
 
-// ProbeTimes learns how long targets that tell nothing of their load usually take to answer
-// a probe. The zero value knows nothing.
-type ProbeTimes struct{ usual time.Duration }
+// ProbeTimes estimates how long targets that report no load typically take to respond to a probe.
+// The zero value has no estimate.
+type ProbeTimes struct{ typical time.Duration }
 
-// Observe takes in how long an answer took, or how long one that did not come was waited for.
+// Observe adds the time that a response took, or that was spent waiting for one that did not
+// come.
 func (q *ProbeTimes) Observe(took time.Duration) {
 	switch {
-	case q.usual == 0:
-		q.usual = took
-	case took < q.usual:
-		q.usual -= time.Duration(usualStep * (1 - usualShare) * float64(q.usual))
+	case q.typical == 0:
+		q.typical = took
+	case took < q.typical:
+		q.typical -= time.Duration(typicalStep * (1 - typicalQuantile) * float64(q.typical))
 	default:
-		q.usual += time.Duration(usualStep * usualShare * float64(q.usual))
+		q.typical += time.Duration(typicalStep * typicalQuantile * float64(q.typical))
 	}
-	q.usual = max(q.usual, leastUsual)
+	q.typical = max(q.typical, minTypical)
 }
 
-// Typical returns the usual time, 0 if no answer came yet.
-func (q *ProbeTimes) Typical() time.Duration { return q.usual }
+// Typical returns the typical time, 0 before the first response.
+func (q *ProbeTimes) Typical() time.Duration { return q.typical }
 
-// ObserveProbe takes in that a target which tells nothing of its load answered a probe.
+// ObserveProbe records that a target that reports no load responded to a probe, and returns the
+// load inferred from that.
 //
-// It answers services whose targets are silent. A probe waits for a slot there and takes
-// as much longer than usual as the target is slower, so that its time says what the load
-// would: that a slot was free, and the pace. The pace is not learned from calls, whose work
-// differs from one to the next.
-func (f *TargetState) ObserveProbe(now time.Time, took, usual time.Duration) targetapi.Load {
-	l := targetapi.Load{Running: f.InFlight, Pace: max(1, float64(took)/float64(max(usual, leastUsual)))}
+// A probe waits for a slot there and takes as much longer than usual as the target is slower, so
+// its duration shows that a slot was free, and the pace. The pace is not derived from calls,
+// whose service times differ from one to the next.
+func (f *TargetState) ObserveProbe(now time.Time, took, typical time.Duration) targetapi.Load {
+	l := targetapi.Load{Running: f.InFlight, Pace: max(1, float64(took)/float64(max(typical, minTypical)))}
 	f.ObserveLoad(now, l)
 	return l
 }
--- a/policy/placement/silent_test.go
+++ b/policy/placement/silent_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Three of four answers come in 2 ms, the others from slow targets in 14: the usual time
-// must stay near that of the many, whatever the order, and follow when all become slower.
-func TestUsualTimeOfQuestions(t *testing.T) {
+// Three of four responses take 2 ms and the others, from slow targets, 14 ms. The typical time
+// must stay near that of the majority in any order, and follow when all become slower.
+func TestTypicalProbeTime(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var q ProbeTimes
 	assert.Equal(t, q.Typical(), time.Duration(0))
@@ -28,9 +28,9 @@
 	assert.Check(t, q.Typical() > 6*time.Millisecond, "%s", q.Typical())
 }
 
-// One answer of a liar, or of a host that was paused, moves the usual time by a twentieth
-// at most; answers at no time at all do not make every other look endless.
-func TestUsualTimeIsNotLedAstray(t *testing.T) {
+// A single outlier, as from a misbehaving target or a paused host, must move the typical time by
+// a twentieth at most; responses in no time must not make every other look extreme.
+func TestTypicalProbeTimeIsRobustToOutliers(t *testing.T) {
 	var q ProbeTimes
 	for range 50 {
 		q.Observe(4 * time.Millisecond)
@@ -41,17 +41,17 @@
 	for range 1000 {
 		q.Observe(0)
 	}
-	assert.Equal(t, q.Typical(), leastUsual)
+	assert.Equal(t, q.Typical(), minTypical)
 }
 
-// A large answer goes to another zone only if the wait in its own is long, a small one
-// where it is soonest.
-func TestWayOfLargeAndSmallAnswers(t *testing.T) {
-	busy := told(4, 2, 1)
-	free := told(0, 0, 1)
+// A large response goes to another zone only if the wait in its own is long, a small one where it
+// is served soonest.
+func TestTransferCostOfLargeAndSmallResponses(t *testing.T) {
+	busy := reported(4, 2, 1)
+	free := reported(0, 0, 1)
 	free.OtherZone = true
 	assert.Check(t, free.Cost(now, TransferCost(400)) < busy.Cost(now, TransferCost(400)))
 	assert.Check(t, free.Cost(now, TransferCost(90_000)) > busy.Cost(now, TransferCost(90_000)))
-	slow := told(4, 2, 7)
+	slow := reported(4, 2, 7)
 	assert.Check(t, free.Cost(now, TransferCost(90_000)) < slow.Cost(now, TransferCost(90_000)))
 }
--- a/policy/placement/subset.go
+++ b/policy/placement/subset.go
@@ -7,47 +7,50 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// SubsetSize is how many targets of the own availability zone a host chooses among, and how many of
-// all others: where thousands serve few calls each, what a host learns of one is old before it
-// comes back to it, and a look at each for every call takes longer than the call.
+// SubsetSize is the number of targets of the host's availability zone among which it chooses, and
+// the number of targets of all other zones. With thousands of targets that serve few calls each,
+// what a host learns of one is stale before it uses it again, and scanning all of them for every
+// call takes longer than the call.
 const SubsetSize = 384
 
-// Subset is the part of a service's targets that one host chooses among. Each target is in it
-// with the same chance, whatever others there are: targets that come or go move few others, and
-// the parts of many hosts cover all targets evenly.
+// Subset selects the targets of a service that one host chooses among. Each target is included
+// with the same probability, independent of the others: targets that come or go move few others,
+// and the subsets of many hosts cover all targets evenly.
 type Subset struct {
 	// Seed differs between hosts.
 	Seed uint64
-	// near and far are the scores below which targets are in it.
-	near, far uint64
+	// ownThreshold and otherThreshold are the scores, for targets of the host's zone and of
+	// others, below which a target is included.
+	ownThreshold, otherThreshold uint64
 }
 
-// Resize sets the chances by the number of targets of the own zone and of others.
-func (s *Subset) Resize(near, far int) {
-	s.near, s.far = chance(near), chance(far)
+// Resize sets the thresholds by the number of targets in the host's zone and in others.
+func (s *Subset) Resize(own, other int) {
+	s.ownThreshold, s.otherThreshold = threshold(own), threshold(other)
 }
 
-// IncludeAll has all targets be in the subset.
-func (s *Subset) IncludeAll() { s.near, s.far = math.MaxUint64, math.MaxUint64 }
+// IncludeAll includes all targets.
+func (s *Subset) IncludeAll() { s.ownThreshold, s.otherThreshold = math.MaxUint64, math.MaxUint64 }
 
-// Contains reports whether a target is in the subset.
-func (s *Subset) Contains(id string, far bool) bool {
-	most := s.near
-	if far {
-		most = s.far
+// Contains reports whether a target is in the subset; otherZone is set if it is in another
+// availability zone.
+func (s *Subset) Contains(id string, otherZone bool) bool {
+	limit := s.ownThreshold
+	if otherZone {
+		limit = s.otherThreshold
 	}
-	return most == math.MaxUint64 || score(s.Seed, id) < most
+	return limit == math.MaxUint64 || score(s.Seed, id) < limit
 }
 
-// chance returns the score below which Kept of so many targets are likely to be.
-func chance(of int) uint64 {
-	if of <= SubsetSize {
+// threshold returns the score below which about SubsetSize of n targets are.
+func threshold(n int) uint64 {
+	if n <= SubsetSize {
 		return math.MaxUint64
 	}
-	return uint64(math.MaxUint64 / float64(of) * SubsetSize)
+	return uint64(math.MaxUint64 / float64(n) * SubsetSize)
 }
 
-// score mixes a target's hash with the host's seed; the mixing is the finaliser of SplitMix64.
+// score mixes a target's hash with the host's seed by the finalizer of SplitMix64.
 func score(seed uint64, id string) uint64 {
 	x := xxhash.Sum64String(id) ^ bits.RotateLeft64(seed, 32)
 	x ^= x >> 30
--- a/policy/placement/subset_test.go
+++ b/policy/placement/subset_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Few targets are all chosen among.
-func TestSmallServicesAreWhole(t *testing.T) {
+// A service with few targets is included whole.
+func TestSmallServicesAreIncludedWhole(t *testing.T) {
 	s := Subset{Seed: 1}
 	s.Resize(SubsetSize, SubsetSize)
 	for i := range 2 * SubsetSize {
@@ -17,8 +17,8 @@
 	}
 }
 
-// The parts of many hosts cover all targets evenly, also those that have just joined: one that no
-// host chooses would stand idle.
+// The subsets of many hosts must cover all targets evenly, including new ones: a target that no
+// host includes would be idle.
 func TestSubsetsCoverAllTargetsEvenly(t *testing.T) {
 	const hosts, targets = 200, 1045
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -36,14 +36,14 @@
 		}
 		least, most = min(least, kept), max(most, kept)
 	}
-	assert.Check(t, least > SubsetSize*8/10 && most < SubsetSize*12/10, "hosts keep %d to %d", least, most)
-	usual := hosts * SubsetSize / targets
+	assert.Check(t, least > SubsetSize*8/10 && most < SubsetSize*12/10, "hosts include %d to %d targets", least, most)
+	expected := hosts * SubsetSize / targets
 	for i, n := range covered {
-		assert.Check(t, n > usual/2 && n < usual*3/2, "target %d is kept by %d hosts, %d is usual", i, n, usual)
+		assert.Check(t, n > expected/2 && n < expected*3/2, "target %d is included by %d hosts, want about %d", i, n, expected)
 	}
 }
 
-// Targets that come and go move few others in or out.
+// A change in the number of targets must move few others in or out.
 func TestSubsetsMoveLittle(t *testing.T) {
 	s := Subset{Seed: 7}
 	s.Resize(1000, 0)
@@ -58,5 +58,5 @@
 			moved++
 		}
 	}
-	assert.Check(t, moved < 40, "%d of 1000 moved", moved)
+	assert.Check(t, moved < 40, "%d of 1000 targets moved", moved)
 }
