--- a/policy/quota/part.go
+++ b/policy/quota/part.go
@@ -8,9 +8,9 @@
 	"github.com/cactusproxy/cactusproxy/internal/invariant"
 )
 
-// Part is an availability zone's part of a quota: a token bucket. It answers requests of
-// one tenant that reach many hosts, each of which sees few of them. It is not safe for
-// concurrent use.
+// Part is an availability zone's share of a quota, a token bucket. One host owns it for the many
+// hosts of the zone, each of which sees few of a tenant's requests. It is not safe for concurrent
+// use.
 type Part struct {
 	tolerance Tolerance
 	limit     Limit
@@ -18,39 +18,40 @@
 
 	tokens float64
 	last   time.Time
-	// short is about how many requests found no token within the last shortFor.
-	short float64
+	// denied is the approximate number of requests that found no token within the last
+	// deniedWindow.
+	denied float64
 }
 
-// shortFor is how long a request that found no token counts.
-const shortFor = time.Second
+// deniedWindow is the time constant with which denied requests decay.
+const deniedWindow = time.Second
 
-// keptFor is for how long a part gains what late requests leave to others.
-const keptFor = 250 * time.Millisecond
+// lateReserve is the time for which the refill of a part is reserved for requests that are not
+// late.
+const lateReserve = 250 * time.Millisecond
 
-// Bounds of what a host that was denied waits before it asks again.
+// Bounds of the time that a denied host waits before it asks again.
 const (
 	minWait = 50 * time.Millisecond
 	maxWait = time.Second
 )
 
-// NewPart returns the part of one of so many zones, without tokens; it gains them from a
-// moment on.
+// NewPart returns the part of one of zones availability zones, empty at the time from.
 func NewPart(from time.Time, l Limit, t Tolerance, zones int) *Part {
 	return &Part{tolerance: t, limit: l, zones: float64(max(zones, 1)), last: from}
 }
 
-// AddStartTokens gives the part the tokens that it has once all hosts have started anew.
+// AddStartTokens adds the tokens that the part has after all hosts have started.
 func (p *Part) AddStartTokens() { p.add(p.tolerance.start(p.limit) / p.zones) }
 
-// Empty takes all tokens away; the part gains some again from a moment on.
+// Empty removes all tokens; the part refills from the given time on.
 func (p *Part) Empty(from time.Time) {
 	p.tokens = 0
 	p.last = from
 }
 
-// TakeOver is Empty for a host that comes to own the part. It keeps one token of a small part,
-// which gains so few that requests would be refused for seconds.
+// TakeOver is Empty for a host that becomes the owner of the part. It keeps one token of a small
+// part, which refills so slowly that requests would otherwise be refused for seconds.
 func (p *Part) TakeOver(from time.Time) {
 	p.Empty(from)
 	if p.Small() {
@@ -58,7 +59,7 @@
 	}
 }
 
-// SetLimit changes the quota. A lower one takes tokens away that are beyond it.
+// SetLimit changes the quota. Tokens beyond the capacity of a lower one are lost.
 func (p *Part) SetLimit(now time.Time, l Limit) {
 	if l == p.limit {
 		return
@@ -70,24 +71,24 @@
 
 // Take takes a token for one request and reports whether there was one.
 //
-// A late request is one that came back after a refusal and whose answer can hardly be in time
-// any more. It leaves some tokens to others: while a tenant asks for more than its quota, those
-// that come back would else take what the next ones need, and nobody were answered in time.
+// A late request is a retry whose response can hardly meet its objective any more. It has to
+// leave a reserve of tokens: while a tenant exceeds its quota, retries would otherwise take the
+// tokens of the next requests, and no response would be in time.
 func (p *Part) Take(now time.Time, late bool) bool {
 	p.refill(now)
-	least := 1.0
+	needed := 1.0
 	if late {
-		least += min(p.rate()*keptFor.Seconds(), p.room()/2)
+		needed += min(p.rate()*lateReserve.Seconds(), p.capacity()/2)
 	}
-	if p.tokens < least {
-		p.short++
+	if p.tokens < needed {
+		p.denied++
 		return false
 	}
 	p.tokens--
 	return true
 }
 
-// Lend takes tokens for another zone, at most as many as it wants, and returns how many.
+// Lend removes up to want tokens for another zone and returns how many it removed.
 func (p *Part) Lend(now time.Time, want float64) float64 {
 	p.refill(now)
 	lent := min(max(want, 0), p.tokens)
@@ -95,42 +96,43 @@
 	return lent
 }
 
-// AddBorrowed adds tokens that another zone lent.
+// AddBorrowed adds n tokens that another zone lent.
 func (p *Part) AddBorrowed(now time.Time, n float64) {
 	p.refill(now)
 	p.add(max(n, 0))
 }
 
-// borrowAhead is for how long what is borrowed at once lasts at the rate of the whole
-// quota: each borrowing is a message to another zone.
+// borrowAhead is how long the tokens of one borrowing last at the rate of the whole quota, which
+// limits the messages between zones.
 const borrowAhead = 100 * time.Millisecond
 
-// BorrowAmount returns how many tokens are worth borrowing for a request that found none.
+// BorrowAmount returns how many tokens to borrow for a request that found none.
 func (p *Part) BorrowAmount() float64 {
 	return max(0, 1-p.tokens) + p.limit.Rate*borrowAhead.Seconds()
 }
 
-// RetryAfter returns how long it takes until those are served that found no token of late.
+// RetryAfter returns the time until the recently denied requests can be served.
 func (p *Part) RetryAfter(now time.Time) time.Duration {
 	p.refill(now)
-	wait := (1 - p.tokens + p.short) / p.rate()
+	wait := (1 - p.tokens + p.denied) / p.rate()
 	return min(max(time.Duration(wait*float64(time.Second)), minWait), maxWait)
 }
 
-// Tokens returns the tokens at hand.
+// Tokens returns the number of tokens available.
 func (p *Part) Tokens(now time.Time) float64 {
 	p.refill(now)
 	return p.tokens
 }
 
-// Small reports whether the part holds so little that two hosts may own it for a while: no
-// more than a host begins with that has just started.
-func (p *Part) Small() bool { return p.room() <= max(p.tolerance.start(p.limit)/p.zones, 1) }
+// Small reports whether the part holds so few tokens that two hosts may own it for a while: no
+// more than a host has after it started.
+func (p *Part) Small() bool { return p.capacity() <= max(p.tolerance.start(p.limit)/p.zones, 1) }
 
 func (p *Part) rate() float64 { return p.limit.Rate / p.zones }
 
-// room is the most tokens that the part holds: one at least, or it would never serve any.
-func (p *Part) room() float64 { return max(p.tolerance.room(p.limit)/p.zones, 1) }
+// capacity returns the most tokens that the part holds: at least one, or it would never serve a
+// request.
+func (p *Part) capacity() float64 { return max(p.tolerance.capacity(p.limit)/p.zones, 1) }
 
 func (p *Part) refill(now time.Time) {
 	d := now.Sub(p.last)
@@ -138,13 +140,13 @@
 		return
 	}
 	p.last = now
-	p.short *= math.Exp(-d.Seconds() / shortFor.Seconds())
+	p.denied *= math.Exp(-d.Seconds() / deniedWindow.Seconds())
 	p.add(p.rate() * d.Seconds())
 }
 
 func (p *Part) add(n float64) {
-	p.tokens = min(p.tokens+n, p.room())
-	if p.tokens < 0 || p.tokens > p.room() {
-		invariant.Broken(invariant.QuotaPart, fmt.Sprintf("tokens=%g room=%g", p.tokens, p.room()))
+	p.tokens = min(p.tokens+n, p.capacity())
+	if p.tokens < 0 || p.tokens > p.capacity() {
+		invariant.Broken(invariant.QuotaPart, fmt.Sprintf("tokens=%g room=%g", p.tokens, p.capacity()))
 	}
 }
--- a/policy/quota/part_test.go
+++ b/policy/quota/part_test.go
@@ -10,21 +10,21 @@
 
 var tolerance = Tolerance{Window: 5 * time.Second, Share: 0.1, Requests: 20}
 
-// most returns the most events within any window of a length.
-func most(events []time.Time, window time.Duration) int {
-	found, from := 0, 0
+// maxWithin returns the largest number of events within any window of the given length.
+func maxWithin(events []time.Time, window time.Duration) int {
+	count, from := 0, 0
 	for i, at := range events {
 		for at.Sub(events[from]) >= window {
 			from++
 		}
-		found = max(found, i-from+1)
+		count = max(count, i-from+1)
 	}
-	return found
+	return count
 }
 
-// Zones that lend each other tokens, lose some on the way and see their quota lowered never
+// Zones that lend each other tokens, lose some in transit and see their quota lowered must never
 // serve more than the quota together.
-func TestPartsTogetherKeepTheQuota(t *testing.T) {
+func TestPartsTogetherStayWithinTheQuota(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		now := time.Unix(1000, 0)
@@ -36,12 +36,12 @@
 			parts[i] = NewPart(now, l, tolerance, zones)
 			parts[i].AddStartTokens()
 		}
-		var ran []time.Time
+		var served []time.Time
 		for range 5000 {
 			now = now.Add(time.Duration(rng.ExpFloat64() * float64(5*time.Millisecond)))
 			p := parts[rng.IntN(zones)]
 			if p.Take(now, false) {
-				ran = append(ran, now)
+				served = append(served, now)
 				continue
 			}
 			lent := parts[rng.IntN(zones)].Lend(now, p.BorrowAmount())
@@ -50,12 +50,12 @@
 			}
 		}
 		bound := tolerance.MaxRequests(l, tolerance.Window)
-		assert.Check(t, float64(most(ran, tolerance.Window)) <= bound, "seed %d: %d of %g", seed, most(ran, tolerance.Window), bound)
-		assert.Check(t, lossy || float64(len(ran)) >= 0.8*min(5000, l.Rate*now.Sub(time.Unix(1000, 0)).Seconds()), "seed %d: only %d", seed, len(ran))
+		assert.Check(t, float64(maxWithin(served, tolerance.Window)) <= bound, "seed %d: %d requests, at most %g are allowed", seed, maxWithin(served, tolerance.Window), bound)
+		assert.Check(t, lossy || float64(len(served)) >= 0.8*min(5000, l.Rate*now.Sub(time.Unix(1000, 0)).Seconds()), "seed %d: only %d requests were served", seed, len(served))
 	}
 }
 
-// A small tenant's burst, divided among zones, is less than one request in each.
+// The burst of a small tenant, divided among zones, is less than one request in each.
 func TestSmallTenantIsServedInAnyZone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPart(now, Limit{Rate: 0.3, Burst: 1}, tolerance, 3)
@@ -64,20 +64,20 @@
 	assert.Check(t, p.Take(now, false))
 }
 
-func TestLoweredQuotaTakesTokensAway(t *testing.T) {
+func TestLoweredQuotaRemovesTokens(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPart(now, Limit{Rate: 300, Burst: 300}, tolerance, 1)
 	now = now.Add(time.Minute)
 	lower := Limit{Rate: 3, Burst: 3}
 	p.SetLimit(now, lower)
-	assert.Check(t, p.Tokens(now) <= tolerance.room(lower))
+	assert.Check(t, p.Tokens(now) <= tolerance.capacity(lower))
 }
 
-func TestDeniedRequestsAreToldWhenThereIsRoom(t *testing.T) {
+func TestRetryAfterOfDeniedRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPart(now, Limit{Rate: 30, Burst: 1}, tolerance, 3)
 	assert.Check(t, !p.Take(now, false))
-	assert.Equal(t, p.RetryAfter(now), 200*time.Millisecond, "one token for it, one for who comes then")
+	assert.Equal(t, p.RetryAfter(now), 200*time.Millisecond, "one token for this request and one for the next")
 	for range 1000 {
 		p.Take(now, false)
 	}
@@ -94,8 +94,8 @@
 	}
 }
 
-// A tenant asks for twice its quota, and each request that is refused comes back: those that
-// can still be answered in time go first.
+// A tenant sends twice its quota, and each refused request is retried. Requests that can still be
+// answered in time take precedence.
 func TestLateRequestsLeaveTokensToOthers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := NewPart(now, Limit{Rate: 20, Burst: 1}, tolerance, 1)
@@ -111,26 +111,26 @@
 	}
 	assert.Check(t, inTime >= 490 && late <= 10, "%d in time, %d late", inTime, late)
 	now = now.Add(time.Minute)
-	assert.Check(t, p.Take(now, true), "there is room for all")
+	assert.Check(t, p.Take(now, true), "there are tokens for all")
 }
 
-// Most requests came back, and a few callers wait for far longer than others.
-func TestArrivalsTellWhoCameBack(t *testing.T) {
+// Most requests are retries, and a few callers have far longer deadlines than the others.
+func TestArrivalsDetectRetries(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var a Arrivals
-	ask := func(left time.Duration) bool {
+	late := func(left time.Duration) bool {
 		return a.Late(Request{Objective: 600 * time.Millisecond, Remaining: left})
 	}
 	for range 100 {
-		ask(5*time.Second - time.Duration(rng.IntN(100))*time.Millisecond)
-		ask(4*time.Second - time.Duration(rng.IntN(1000))*time.Millisecond)
-		ask(3*time.Second - time.Duration(rng.IntN(1000))*time.Millisecond)
+		late(5*time.Second - time.Duration(rng.IntN(100))*time.Millisecond)
+		late(4*time.Second - time.Duration(rng.IntN(1000))*time.Millisecond)
+		late(3*time.Second - time.Duration(rng.IntN(1000))*time.Millisecond)
 		if rng.IntN(20) == 0 {
-			ask(time.Minute)
+			late(time.Minute)
 		}
 	}
-	assert.Check(t, !ask(4900*time.Millisecond))
-	assert.Check(t, ask(4500*time.Millisecond))
+	assert.Check(t, !late(4900*time.Millisecond))
+	assert.Check(t, late(4500*time.Millisecond))
 	assert.Check(t, !a.Late(Request{Remaining: time.Second}), "a route without an objective has no late requests")
-	assert.Check(t, !a.Late(Request{Objective: time.Second, Remaining: -1}), "a caller that does not say")
+	assert.Check(t, !a.Late(Request{Objective: time.Second, Remaining: -1}), "a caller that sends no deadline")
 }
