--- a/policy/rendezvous/rendezvous.go
+++ b/policy/rendezvous/rendezvous.go
@@ -1,7 +1,7 @@
-// Package rendezvous gives each role, such as coordinator of a service, to one
-// of the entry hosts by rendezvous hashing: the host with the highest score for
-// the role's key has it. Hosts with the same view agree without a message, and
-// when a host comes or goes only the roles that it gains or held move.
+// Package rendezvous assigns each role, such as the coordinator of a service, to one of the entry
+// hosts by rendezvous hashing: the host with the highest score for the role's key has it. Hosts
+// with the same member list agree without messages, and when a host comes or goes only the roles
+// that it gains or had move.
 package rendezvous
 
 import (
@@ -15,14 +15,14 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Owner returns the live host that has the role. Hosts that are not ready are
-// taken only if none is ready. It allocates nothing.
+// Owner returns the live host that has the role. Hosts that are not ready are chosen only if none
+// is ready. It allocates nothing.
 func Owner(key string, members []blackboard.Member) (blackboard.Member, bool) {
 	return best(key, members, func(blackboard.Member) bool { return true })
 }
 
-// OwnerInZone is Owner for a role that each availability zone has for itself.
-// Hosts of other zones are taken only if the zone has no live host.
+// OwnerInZone is Owner for a role that each availability zone assigns on its own. Hosts of other
+// zones are chosen only if the zone has no live host.
 func OwnerInZone(key, zone string, members []blackboard.Member) (blackboard.Member, bool) {
 	m, ok := best(key, members, func(m blackboard.Member) bool { return m.Host.Zone == zone })
 	if ok {
@@ -51,7 +51,7 @@
 	return members[found], true
 }
 
-// wins compares readiness, then score, then ID for the case of equal scores.
+// wins compares by readiness, then score, then ID to break ties.
 func wins(a *blackboard.Member, as uint64, b *blackboard.Member, bs uint64) bool {
 	if a.Ready != b.Ready {
 		return a.Ready
@@ -62,8 +62,8 @@
 	return a.Host.ID < b.Host.ID
 }
 
-// score mixes the hashes of key and host; the mixing is the finaliser of
-// SplitMix64. Hashing the two separately keeps it free of allocation.
+// score mixes the hashes of key and host with the finalizer of SplitMix64. Hashing the two
+// separately avoids an allocation.
 func score(key uint64, id ports.HostID) uint64 {
 	x := key ^ bits.RotateLeft64(xxhash.Sum64String(string(id)), 32)
 	x ^= x >> 30
@@ -74,8 +74,8 @@
 	return x
 }
 
-// InTopN reports whether a host is one of the n live hosts of a zone with the highest scores for
-// a key; of all zones if zone is empty. It allocates nothing.
+// InTopN reports whether host self is one of the n live hosts of a zone with the highest scores
+// for a key; an empty zone means all zones. It allocates nothing.
 func InTopN(self ports.HostID, key, zone string, n int, members []blackboard.Member) bool {
 	k := xxhash.Sum64String(key)
 	own := score(k, self)
@@ -96,8 +96,7 @@
 	return present && above < n
 }
 
-// TopN returns the n live hosts of a zone with the highest scores for a key, the highest
-// first.
+// TopN returns the n live hosts of a zone with the highest scores for a key, the highest first.
 func TopN(key, zone string, n int, members []blackboard.Member) []ports.HostID {
 	type ranked struct {
 		id    ports.HostID
--- a/policy/rendezvous/rendezvous_test.go
+++ b/policy/rendezvous/rendezvous_test.go
@@ -43,7 +43,7 @@
 	}
 	assert.Equal(t, len(count), 15)
 	for id, n := range count {
-		assert.Check(t, n > roles/15*7/10 && n < roles/15*13/10, "%s has %d", id, n)
+		assert.Check(t, n > roles/15*7/10 && n < roles/15*13/10, "%s has %d roles", id, n)
 	}
 }
 
--- a/policy/ring/ring.go
+++ b/policy/ring/ring.go
@@ -1,7 +1,7 @@
-// Package ring places hosts on a ring by the hash of their ID and tells each
-// one its neighbours. All hosts with the same view agree on who is whose
-// neighbour, and each has few of them however many hosts there are, so that the
-// connections between hosts do not grow into a full mesh.
+// Package ring arranges hosts on a ring by the hash of their ID and returns the neighbors of
+// each. All hosts with the same member list agree on the neighbors, and the number of them does
+// not grow with the number of hosts, so that the connections between hosts do not become a full
+// mesh.
 package ring
 
 import (
@@ -13,12 +13,12 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Ring is immutable.
+// Ring is an immutable hash ring of hosts.
 type Ring struct {
 	ids []ports.HostID
 }
 
-// New returns the ring of these hosts, which have to differ.
+// New returns the ring of the given hosts, which must be distinct.
 func New(ids []ports.HostID) Ring {
 	r := Ring{ids: slices.Clone(ids)}
 	slices.SortFunc(r.ids, compare)
@@ -30,11 +30,12 @@
 	return cmp.Or(byHash, cmp.Compare(a, b))
 }
 
-// After returns the k hosts that follow id, or all others if there are fewer.
-// It returns none if id is not on the ring.
+// After returns the k hosts that follow id, or all others if there are fewer. It returns none if
+// id is not on the ring.
 func (r Ring) After(id ports.HostID, k int) []ports.HostID { return r.walk(id, k, 1) }
 
-// Before returns the k hosts that id follows, the nearest first.
+// Before returns the k hosts that precede id, the nearest first, with the same exceptions as
+// After.
 func (r Ring) Before(id ports.HostID, k int) []ports.HostID { return r.walk(id, k, -1) }
 
 func (r Ring) walk(id ports.HostID, k, step int) []ports.HostID {
@@ -50,9 +51,8 @@
 	return out
 }
 
-// Fingers returns the hosts that follow id at the distances 1, 2, 4 and so on.
-// A message that is passed on to fingers reaches all of n hosts in about log n
-// steps.
+// Fingers returns the hosts that follow id at distances 1, 2, 4 and so on, as in Chord. A message
+// that each host forwards to its fingers reaches all n hosts in about log n steps.
 func (r Ring) Fingers(id ports.HostID) []ports.HostID {
 	at, ok := slices.BinarySearchFunc(r.ids, id, compare)
 	if !ok {
--- a/policy/ring/ring_test.go
+++ b/policy/ring/ring_test.go
@@ -33,11 +33,11 @@
 func TestFingersReachAllInFewSteps(t *testing.T) {
 	r := New(ids(150))
 	reached := map[ports.HostID]bool{"h0": true}
-	last := []ports.HostID{"h0"}
+	frontier := []ports.HostID{"h0"}
 	steps := 0
 	for len(reached) < 150 {
 		var next []ports.HostID
-		for _, id := range last {
+		for _, id := range frontier {
 			assert.Equal(t, len(r.Fingers(id)), 8)
 			for _, f := range r.Fingers(id) {
 				if !reached[f] {
@@ -46,7 +46,7 @@
 				}
 			}
 		}
-		last = next
+		frontier = next
 		steps++
 	}
 	assert.Check(t, steps <= 8, "%d steps", steps)
