--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -34,7 +34,7 @@
 	assert.Check(t, ok)
 	assert.Equal(t, d, 20*time.Millisecond)
 	_, ok = HedgeDelay(20*time.Millisecond, 4*time.Millisecond, 22*time.Millisecond)
-	assert.Check(t, !ok, "the hedge could not answer in time")
+	assert.Check(t, !ok, "the hedge could not be answered in time")
 	_, ok = HedgeDelay(0, 0, time.Second)
-	assert.Check(t, !ok, "nothing is known yet")
+	assert.Check(t, !ok, "no latency is known yet")
 }
