--- a/policy/localpick/local_test.go
+++ b/policy/localpick/picker_test.go
@@ -15,7 +15,7 @@
 
 var noon = time.Unix(1000, 0)
 
-func newLocal(targets, slots int) *Local {
+func newPicker(targets, slots int) *Picker {
 	l := New(rand.New(rand.NewPCG(1, 1)))
 	l.Configure(slots, 0)
 	list := make([]blackboard.Target, targets)
@@ -26,8 +26,8 @@
 	return l
 }
 
-// call picks a target and ends the attempt at once with this report.
-func (l *Local) call(now time.Time, r pick.Report) ports.HostID {
+// call picks a target and ends the attempt at once with the given report.
+func (l *Picker) call(now time.Time, r pick.Report) ports.HostID {
 	t, ok := l.Pick(now, nil, false, false)
 	if !ok {
 		return ""
@@ -37,13 +37,13 @@
 	return t.ID
 }
 
-func TestNoticeOfAnOverdueAttemptTurnsCallsAway(t *testing.T) {
-	l := newLocal(3, 2)
-	l.Overdue(noon, "t001")
+func TestOverdueNoticeDivertsCalls(t *testing.T) {
+	l := newPicker(3, 2)
+	l.MarkOverdue(noon, "t001")
 	for range 50 {
 		assert.Check(t, l.call(noon, pick.Report{Class: pick.OK, Latency: time.Millisecond, Load: -1}) != "t001")
 	}
-	later := noon.Add(2 * overdueFor)
+	later := noon.Add(2 * overdueTTL)
 	seen := map[ports.HostID]bool{}
 	for range 50 {
 		seen[l.call(later, pick.Report{Class: pick.OK, Latency: time.Millisecond, Load: -1})] = true
@@ -51,10 +51,10 @@
 	assert.Check(t, seen["t001"])
 }
 
-// A target answers errors in no time, so that it always looks idle. After a few
-// of them it is left out, with no word from anybody else.
-func TestTargetThatFailsFastIsLeftOut(t *testing.T) {
-	l := newLocal(4, 2)
+// A target that answers errors immediately always looks idle. It must be ejected after a few of
+// them, without a notice from another host.
+func TestFastFailingTargetIsEjected(t *testing.T) {
+	l := newPicker(4, 2)
 	failed := 0
 	for i := range 500 {
 		now := noon.Add(time.Duration(i) * time.Millisecond)
@@ -67,11 +67,11 @@
 		l.Start(g.ID, false)
 		l.End(now, g.ID, false, false, pick.Report{Class: class, Latency: time.Millisecond, Load: 0})
 	}
-	assert.Check(t, failed < 20, "%d calls reached it", failed)
+	assert.Check(t, failed < 20, "%d calls reached the failing target", failed)
 }
 
 func TestSlotsOfOneHostAreBounded(t *testing.T) {
-	l := newLocal(2, 2)
+	l := newPicker(2, 2)
 	for range 4 {
 		g, ok := l.Pick(noon, nil, false, false)
 		assert.Check(t, ok)
@@ -81,8 +81,8 @@
 	assert.Check(t, !ok)
 }
 
-func TestAloneKeepsOtherCallsOfThisHostAway(t *testing.T) {
-	l := newLocal(2, 4)
+func TestExclusiveAttemptKeepsOtherCallsAway(t *testing.T) {
+	l := newPicker(2, 4)
 	g, _ := l.Pick(noon, nil, false, true)
 	l.Start(g.ID, true)
 	for range 4 {
@@ -95,7 +95,7 @@
 }
 
 func BenchmarkChoice(b *testing.B) {
-	l := newLocal(100, 2)
+	l := newPicker(100, 2)
 	for range 50 {
 		l.call(noon, pick.Report{Class: pick.OK, Latency: time.Millisecond, Load: 1})
 	}
--- a/policy/session/session.go
+++ b/policy/session/session.go
@@ -1,6 +1,9 @@
-// Package session is the entry host's side of choosing targets for one service,
-// as a pure state machine: it asks the coordinator for slots, keeps its own
-// attempts, and chooses by itself while the coordinator does not answer.
+// Package session implements the entry host's side of choosing targets for one service as a pure
+// state machine. It requests slots from the coordinator, tracks this host's attempts in flight,
+// and chooses targets locally while the coordinator does not respond.
+//
+// Inputs are method calls with the current time; the resulting decisions and messages are
+// collected with TakeOutput.
 package session
 
 import (
@@ -12,53 +15,53 @@
 	"github.com/cactusproxy/cactusproxy/declare"
 	"github.com/cactusproxy/cactusproxy/outcome"
 	"github.com/cactusproxy/cactusproxy/pick"
-	"github.com/cactusproxy/cactusproxy/policy/localpick"
 	"github.com/cactusproxy/cactusproxy/policy/grant"
+	"github.com/cactusproxy/cactusproxy/policy/localpick"
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Times of the protocol.
+// Timing of the protocol.
 const (
-	// TickInterval is how often Tick should run while an ask waits.
+	// TickInterval is how often Tick should run while a request is waiting.
 	TickInterval = time.Millisecond
-	// patience is how long an ask may hear nothing from the coordinator before
-	// the host chooses by itself.
-	patience = 4 * time.Millisecond
-	// firstRetry and maxRetry bound the time until a silent coordinator is
-	// tried again.
-	firstRetry = 20 * time.Millisecond
-	maxRetry   = 320 * time.Millisecond
+	// replyTimeout is how long a request may wait without a message from the coordinator before
+	// the host chooses targets locally.
+	replyTimeout = 4 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the exponential backoff between tries to reach an
+	// unresponsive coordinator.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 320 * time.Millisecond
 )
 
-// Decision settles an ask.
+// Decision is the result of a request.
 type Decision struct {
 	ID grant.AttemptID
-	// Target is where the attempt goes, if Reason is empty.
+	// Target is the target of the attempt, if Reason is empty.
 	Target blackboard.Target
 	Reason outcome.Reason
-	// Local is set if this host chose by itself.
+	// Local is set if this host chose the target itself.
 	Local bool
 }
 
-// ask is an ask that waits.
-type ask struct {
+// pending is a request that waits for a decision.
+type pending struct {
 	id       grant.AttemptID
 	req      pick.Request
 	since    time.Time
-	deadline time.Time // zero means none
+	deadline time.Time // zero if none
 	avoid    []ports.HostID
 }
 
 // attempt is an attempt in flight.
 type attempt struct {
-	target  ports.HostID
-	since   time.Time
-	alone   bool
-	noticed bool // its being overdue was told to all
+	target    ports.HostID
+	since     time.Time
+	exclusive bool
+	notified  bool // other hosts were notified that it is overdue
 }
 
-// Session is one host's part in choosing targets of one service. It is not safe
-// for concurrent use.
+// Session chooses targets of one service on behalf of one host. It is not safe for concurrent
+// use.
 type Session struct {
 	key      blackboard.ServiceKey
 	zone     string
@@ -66,57 +69,57 @@
 	seq      uint64
 	nextID   grant.AttemptID
 	maxQueue int
-	local    *localpick.Local
-
-	waiting []ask // oldest first
-	open    map[grant.AttemptID]attempt
-
-	coordinator ports.HostID // empty if there is none
-	silent      bool         // it does not answer: choose here
-	heard       time.Time
-	lastFull    time.Time
-	retryAt     time.Time
-	retry       time.Duration
-
-	frame     grant.Frame // what the coordinator has yet to be told
-	send      bool        // frame is due now
-	decisions []Decision
-	overdue   []ports.HostID
+	picker   *localpick.Picker
+
+	waiting  []pending // oldest first
+	inFlight map[grant.AttemptID]attempt
+
+	coordinator  ports.HostID // empty if there is none
+	unresponsive bool         // the coordinator does not respond; choose locally
+	lastHeard    time.Time
+	lastFull     time.Time
+	retryAt      time.Time
+	retryDelay   time.Duration
+
+	frame          grant.Frame // content of the next message to the coordinator
+	sendDue        bool        // frame is due now
+	decisions      []Decision
+	overdueTargets []ports.HostID
 }
 
-// New returns a session without targets or coordinator. The epoch must be
-// greater than that of an earlier run on the same host.
+// New returns a session without targets or a coordinator. The epoch must be greater than that of
+// an earlier run on the same host.
 func New(key blackboard.ServiceKey, epoch uint64, rng *rand.Rand) *Session {
 	return &Session{
-		key:   key,
-		epoch: epoch,
-		local: localpick.New(rng),
-		open:  make(map[grant.AttemptID]attempt),
+		key:      key,
+		epoch:    epoch,
+		picker:   localpick.New(rng),
+		inFlight: make(map[grant.AttemptID]attempt),
 	}
 }
 
-// Configure takes the declaration of the service.
+// Configure applies the declaration of the service.
 func (s *Session) Configure(svc *declare.Service) {
 	s.maxQueue = svc.MaxQueue
-	s.local.Configure(svc.Slots, svc.ColdStart)
+	s.picker.Configure(svc.Slots, svc.ColdStart)
 }
 
 // SetZone sets the availability zone of this host.
 func (s *Session) SetZone(zone string) {
 	s.zone = zone
-	s.local.SetZone(zone)
+	s.picker.SetZone(zone)
 }
 
-// SetTargets takes the view of the targets.
+// SetTargets replaces the list of targets.
 func (s *Session) SetTargets(now time.Time, list []blackboard.Target) {
-	s.local.SetTargets(list)
-	if s.local.Usable() == 0 {
+	s.picker.SetTargets(list)
+	if s.picker.Usable() == 0 {
 		s.refuseAll(outcome.ReasonNoTarget)
 	}
 	s.serve(now)
 }
 
-// SetCoordinator names the host to ask; ok is false if there is none.
+// SetCoordinator sets the host to request slots from; ok is false if there is none.
 func (s *Session) SetCoordinator(now time.Time, id ports.HostID, ok bool) {
 	if !ok {
 		id = ""
@@ -125,35 +128,36 @@
 		return
 	}
 	s.coordinator = id
-	s.silent = id == ""
-	s.heard = now
-	s.retry = firstRetry
+	s.unresponsive = id == ""
+	s.lastHeard = now
+	s.retryDelay = minRetryDelay
 	if id != "" {
 		s.fullFrame(now)
 	}
 	s.serve(now)
 }
 
-// Coordinated reports whether a coordinator decides at present.
-func (s *Session) Coordinated() bool { return !s.silent && s.coordinator != "" }
+// Coordinated reports whether a coordinator currently makes the decisions.
+func (s *Session) Coordinated() bool { return !s.unresponsive && s.coordinator != "" }
 
-// NextID returns the identity that the next Ask will have.
+// NextID returns the ID that the next request will have.
 func (s *Session) NextID() grant.AttemptID { return s.nextID + 1 }
 
-// Request takes a request for a target. Its decision comes from Take, now or later.
+// Request submits a request for a target. TakeOutput returns the decision, now or later; a zero
+// deadline means none.
 func (s *Session) Request(now time.Time, req pick.Request, deadline time.Time) grant.AttemptID {
 	s.nextID++
 	id := s.nextID
-	a := ask{id: id, req: req, since: now, deadline: deadline, avoid: req.Avoid}
+	a := pending{id: id, req: req, since: now, deadline: deadline, avoid: req.Avoid}
 	switch {
-	case s.local.Usable() == 0:
+	case s.picker.Usable() == 0:
 		s.refuse(id, outcome.ReasonNoTarget)
 	case !deadline.IsZero() && !now.Before(deadline):
 		s.refuse(id, outcome.ReasonDeadline)
 	case len(s.waiting) >= s.maxQueue && s.maxQueue > 0:
 		s.refuse(id, outcome.ReasonQueueFull)
 	case !s.Coordinated():
-		s.askLocally(now, &a)
+		s.requestLocally(now, &a)
 	default:
 		s.waiting = append(s.waiting, a)
 		s.forward(now, &a)
@@ -161,17 +165,17 @@
 	return id
 }
 
-// forward asks the coordinator for a slot.
-func (s *Session) forward(now time.Time, a *ask) {
+// forward requests a slot from the coordinator.
+func (s *Session) forward(now time.Time, a *pending) {
 	if len(s.waiting) == 1 {
-		// Nothing was due from the coordinator until now.
-		s.heard = now
+		// The coordinator had no reason to send anything until now.
+		s.lastHeard = now
 	}
 	s.frame.Requests = append(s.frame.Requests, a.message(now))
-	s.send = true
+	s.sendDue = true
 }
 
-func (a *ask) message(now time.Time) grant.Request {
+func (a *pending) message(now time.Time) grant.Request {
 	m := grant.Request{ID: a.id, Avoid: a.avoid, Hedge: a.req.Hedge, Exclusive: a.req.Alone}
 	if !a.deadline.IsZero() {
 		m.Remaining = max(a.deadline.Sub(now), 1)
@@ -190,48 +194,48 @@
 	s.waiting = s.waiting[:0]
 }
 
-// Cancel withdraws an ask that was not decided yet, or gives back a grant that
-// the caller no longer wants.
+// Cancel withdraws a request that is not decided yet, or returns a grant that the caller no
+// longer wants.
 func (s *Session) Cancel(now time.Time, id grant.AttemptID) {
 	if i := s.find(id); i >= 0 {
 		s.waiting = slices.Delete(s.waiting, i, i+1)
-		s.giveBack(id)
+		s.returnSlot(id)
 		return
 	}
-	if a, ok := s.open[id]; ok {
-		delete(s.open, id)
-		s.local.End(now, a.target, a.alone, true, pick.Report{})
-		s.giveBack(id)
+	if a, ok := s.inFlight[id]; ok {
+		delete(s.inFlight, id)
+		s.picker.End(now, a.target, a.exclusive, true, pick.Report{})
+		s.returnSlot(id)
 		s.serve(now)
 	}
 }
 
 func (s *Session) find(id grant.AttemptID) int {
-	return slices.IndexFunc(s.waiting, func(a ask) bool { return a.id == id })
+	return slices.IndexFunc(s.waiting, func(a pending) bool { return a.id == id })
 }
 
-// giveBack tells the coordinator that an ask or a grant is not wanted.
-func (s *Session) giveBack(id grant.AttemptID) {
-	s.tellEnd(grant.Completion{ID: id, Class: grant.Unused, Load: -1})
+// returnSlot tells the coordinator that a request or a grant is no longer wanted.
+func (s *Session) returnSlot(id grant.AttemptID) {
+	s.sendCompletion(grant.Completion{ID: id, Class: grant.Unused, Load: -1})
 }
 
-func (s *Session) tellEnd(e grant.Completion) {
+func (s *Session) sendCompletion(e grant.Completion) {
 	if !s.Coordinated() {
 		return
 	}
 	s.frame.Completions = append(s.frame.Completions, e)
-	s.send = true
+	s.sendDue = true
 }
 
-// End takes the report of an attempt.
+// End records the report of an attempt.
 func (s *Session) End(now time.Time, id grant.AttemptID, r pick.Report) {
-	a, ok := s.open[id]
+	a, ok := s.inFlight[id]
 	if !ok {
 		return
 	}
-	delete(s.open, id)
-	s.local.End(now, a.target, a.alone, false, r)
-	s.tellEnd(grant.Completion{
+	delete(s.inFlight, id)
+	s.picker.End(now, a.target, a.exclusive, false, r)
+	s.sendCompletion(grant.Completion{
 		ID:      id,
 		Class:   r.Class,
 		Latency: r.Latency,
@@ -241,18 +245,18 @@
 	s.serve(now)
 }
 
-// HandleReply takes a message of a coordinator.
+// HandleReply processes a reply from a coordinator.
 func (s *Session) HandleReply(now time.Time, from ports.HostID, t grant.Reply) {
 	if t.Epoch != s.epoch || from != s.coordinator {
-		return // meant for an earlier run, or from a host that was coordinator
+		return // for an earlier run, or from a former coordinator
 	}
 	if t.Decline {
 		s.fallBack(now)
 		return
 	}
-	s.contact(now)
+	s.markResponsive(now)
 	for _, g := range t.Grants {
-		s.granted(now, g)
+		s.handleGrant(now, g)
 	}
 	for _, r := range t.Refusals {
 		if i := s.find(r.ID); i >= 0 {
@@ -265,49 +269,49 @@
 	}
 }
 
-// contact notes that the coordinator answers.
-func (s *Session) contact(now time.Time) {
-	s.heard = now
-	if !s.silent {
+// markResponsive records that the coordinator responds.
+func (s *Session) markResponsive(now time.Time) {
+	s.lastHeard = now
+	if !s.unresponsive {
 		return
 	}
-	s.silent = false
-	s.retry = firstRetry
-	// What was chosen here in the meantime is in flight and not in its books.
+	s.unresponsive = false
+	s.retryDelay = minRetryDelay
+	// The coordinator does not know the attempts that were placed locally in the meantime.
 	s.fullFrame(now)
 }
 
-// granted takes a slot. If the ask is gone, or this host knows better about the
-// target, the slot goes back at once.
-func (s *Session) granted(now time.Time, g grant.Grant) {
+// handleGrant accepts a slot. If the request is gone, or this host knows that the target can not
+// be used, it returns the slot immediately.
+func (s *Session) handleGrant(now time.Time, g grant.Grant) {
 	i := s.find(g.ID)
 	if i < 0 {
-		s.giveBack(g.ID)
+		s.returnSlot(g.ID)
 		return
 	}
 	a := s.waiting[i]
 	s.waiting = slices.Delete(s.waiting, i, i+1)
-	t, ok := s.local.Find(g.Target)
+	t, ok := s.picker.Find(g.Target)
 	if ok {
 		s.start(now, &a, t, false)
 		return
 	}
-	s.askAgain(now, a, g.Target)
+	s.requestAgain(now, a, g.Target)
 }
 
-// askAgain repeats an ask whose grant named a target that this host knows to be
-// leaving, or does not know: the host lists of two hosts may differ. The grant
-// goes back in the same frame, before the ask.
-func (s *Session) askAgain(now time.Time, a ask, not ports.HostID) {
-	s.giveBack(a.id)
-	if slices.Contains(a.avoid, not) {
-		// The coordinator knows no other target. Asking on would go round until
-		// the deadline; this host knows better and chooses alone for a while.
+// requestAgain repeats a request whose grant named a target that this host does not know or knows
+// to be leaving; target lists of two hosts may differ. The grant is returned in the same frame,
+// ahead of the request.
+func (s *Session) requestAgain(now time.Time, a pending, unusable ports.HostID) {
+	s.returnSlot(a.id)
+	if slices.Contains(a.avoid, unusable) {
+		// The coordinator knows no other target, and repeating the request would loop until the
+		// deadline. This host has better information and chooses locally for a while.
 		s.waiting = append(s.waiting, a)
 		s.fallBack(now)
 		return
 	}
-	a.avoid = append(slices.Clone(a.avoid), not)
+	a.avoid = append(slices.Clone(a.avoid), unusable)
 	s.waiting = append(s.waiting, a)
 	if s.Coordinated() {
 		s.forward(now, &a)
@@ -315,13 +319,13 @@
 	s.serve(now)
 }
 
-func (s *Session) start(now time.Time, a *ask, t blackboard.Target, local bool) {
-	s.open[a.id] = attempt{target: t.ID, since: now, alone: a.req.Alone}
-	s.local.Start(t.ID, a.req.Alone)
+func (s *Session) start(now time.Time, a *pending, t blackboard.Target, local bool) {
+	s.inFlight[a.id] = attempt{target: t.ID, since: now, exclusive: a.req.Alone}
+	s.picker.Start(t.ID, a.req.Alone)
 	s.decisions = append(s.decisions, Decision{ID: a.id, Target: t, Local: local})
 }
 
-// serve chooses here for the asks that wait, if no coordinator does.
+// serve chooses targets locally for the waiting requests, unless a coordinator does.
 func (s *Session) serve(now time.Time) {
 	if s.Coordinated() || len(s.waiting) == 0 {
 		return
@@ -336,12 +340,12 @@
 	s.waiting = kept
 }
 
-func (s *Session) serveOne(now time.Time, a *ask) bool {
-	if !a.deadline.IsZero() && now.Add(s.local.Latency().Median()).After(a.deadline) {
+func (s *Session) serveOne(now time.Time, a *pending) bool {
+	if !a.deadline.IsZero() && now.Add(s.picker.Latency().Median()).After(a.deadline) {
 		s.refuse(a.id, outcome.ReasonDeadline)
 		return true
 	}
-	t, ok := s.local.Pick(now, a.avoid, a.req.Hedge, a.req.Alone)
+	t, ok := s.picker.Pick(now, a.avoid, a.req.Hedge, a.req.Alone)
 	if ok {
 		s.start(now, a, t, true)
 		return true
--- a/policy/session/session_test.go
+++ b/policy/session/session_test.go
@@ -27,11 +27,13 @@
 	return s
 }
 
-func (s *Session) ask(now time.Time) grant.AttemptID { return s.Request(now, pick.Request{}, time.Time{}) }
+func (s *Session) request(now time.Time) grant.AttemptID {
+	return s.Request(now, pick.Request{}, time.Time{})
+}
 
-func TestHostAsksOnceAndWaits(t *testing.T) {
+func TestHostRequestsOnceAndWaits(t *testing.T) {
 	s := newSession(0)
-	id := s.ask(noon)
+	id := s.request(noon)
 	out := s.TakeOutput()
 	assert.Equal(t, string(out.To), "h0")
 	assert.Equal(t, out.Frame.Requests[0].ID, id)
@@ -42,31 +44,31 @@
 	assert.Check(t, !d.Local)
 }
 
-// The coordinator is gone. The first ask waits out the patience; the host then
-// chooses alone, and knocks again at growing intervals, not with every call.
-func TestSilentCoordinatorIsTriedLessAndLess(t *testing.T) {
+// The coordinator has crashed. The first request waits for the reply timeout; then the host
+// chooses locally and retries the coordinator at growing intervals, not with every call.
+func TestUnresponsiveCoordinatorIsRetriedWithBackoff(t *testing.T) {
 	s := newSession(0)
-	s.ask(noon)
+	s.request(noon)
 	s.TakeOutput()
-	knocks := 0
+	retries := 0
 	decided := time.Duration(0)
 	for d := time.Duration(0); d < 2*time.Second; d += TickInterval {
 		s.Tick(noon.Add(d))
 		out := s.TakeOutput()
 		if out.To != "" {
-			knocks++
+			retries++
 		}
 		if len(out.Decisions) > 0 && decided == 0 {
 			decided = d
 		}
 	}
-	assert.Equal(t, decided, patience)
-	assert.Check(t, knocks >= 5 && knocks <= 12, "%d knocks in two seconds", knocks)
+	assert.Equal(t, decided, replyTimeout)
+	assert.Check(t, retries >= 5 && retries <= 12, "%d retries in two seconds", retries)
 }
 
-func TestGrantNobodyWaitsForGoesBack(t *testing.T) {
+func TestUnwantedGrantIsReturned(t *testing.T) {
 	s := newSession(0)
-	id := s.ask(noon)
+	id := s.request(noon)
 	s.Cancel(noon, id)
 	s.TakeOutput()
 	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}})
@@ -75,40 +77,40 @@
 	assert.Equal(t, out.Frame.Completions[0].Class, grant.Unused)
 }
 
-func TestWordOfAFormerCoordinatorCountsForNothing(t *testing.T) {
+func TestReplyOfAFormerCoordinatorIsIgnored(t *testing.T) {
 	s := newSession(0)
-	id := s.ask(noon)
+	id := s.request(noon)
 	s.SetCoordinator(noon, "h1", true)
 	out := s.TakeOutput()
 	assert.Equal(t, string(out.To), "h1")
 	assert.Check(t, out.Frame.Full)
-	assert.Equal(t, out.Frame.Requests[0].ID, id, "the new one learns of the ask")
+	assert.Equal(t, out.Frame.Requests[0].ID, id, "the new coordinator learns of the request")
 	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}})
 	assert.Equal(t, len(s.TakeOutput().Decisions), 0)
 }
 
-func TestDeclineAndHopelessAsksAreSettledAtOnce(t *testing.T) {
+func TestDeclineAndHopelessRequestsAreDecidedAtOnce(t *testing.T) {
 	s := newSession(2)
-	s.ask(noon)
+	s.request(noon)
 	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Decline: true})
 	assert.Check(t, s.TakeOutput().Decisions[0].Local)
 	s.Request(noon, pick.Request{}, noon.Add(-time.Second))
 	assert.Equal(t, s.TakeOutput().Decisions[0].Reason, outcome.ReasonDeadline)
-	for range 3 { // one more takes the last slot, two wait
-		s.ask(noon)
+	for range 3 { // one takes the last slot, two wait
+		s.request(noon)
 	}
 	s.TakeOutput()
-	s.ask(noon)
+	s.request(noon)
 	assert.Equal(t, s.TakeOutput().Decisions[0].Reason, outcome.ReasonQueueFull)
 }
 
-// The coordinator's list lags: it knows only a target that this host knows to
-// be leaving, and would grant it for ever. The host asks once more, then uses
-// the target that it knows itself.
-func TestHostDoesNotGoRoundWithALaggingCoordinator(t *testing.T) {
+// The coordinator's list is stale: it knows only a target that this host knows to be leaving, and
+// would grant it again and again. The host repeats the request once and then uses the target that
+// it knows itself.
+func TestNoRequestLoopWithAStaleCoordinator(t *testing.T) {
 	s := newSession(0)
 	s.SetTargets(noon, []blackboard.Target{{ID: "t0", Leaving: true}, {ID: "t1"}})
-	id := s.ask(noon)
+	id := s.request(noon)
 	s.TakeOutput()
 	tell := grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}}
 	s.HandleReply(noon, "h0", tell)
--- a/policy/session/tick.go
+++ b/policy/session/tick.go
@@ -10,28 +10,28 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// openTick is how often Tick should run while only attempts are in flight.
-const openTick = 25 * time.Millisecond
+// attemptTickInterval is how often Tick should run while only attempts are in flight.
+const attemptTickInterval = 25 * time.Millisecond
 
-// Next returns the time until Tick should run, 0 for never.
+// Next returns the time until Tick should run, 0 if it need not.
 func (s *Session) Next() time.Duration {
 	switch {
 	case len(s.waiting) > 0:
 		return TickInterval
-	case len(s.open) > 0 && s.silent:
+	case len(s.inFlight) > 0 && s.unresponsive:
 		return TickInterval
-	case len(s.open) > 0:
-		return openTick
+	case len(s.inFlight) > 0:
+		return attemptTickInterval
 	default:
 		return 0
 	}
 }
 
-// Tick watches the passing of time: deadlines, a coordinator that fell silent,
-// heartbeats, attempts that are overdue.
+// Tick applies timeouts: deadlines, an unresponsive coordinator, heartbeats, and overdue
+// attempts.
 func (s *Session) Tick(now time.Time) {
 	s.expire(now)
-	s.watchCoordinator(now)
+	s.checkCoordinator(now)
 	if s.Coordinated() {
 		if s.busy() && now.Sub(s.lastFull) >= grant.HeartbeatInterval {
 			s.fullFrame(now)
@@ -43,85 +43,84 @@
 	s.serve(now)
 }
 
-func (s *Session) busy() bool { return len(s.waiting) > 0 || len(s.open) > 0 }
+func (s *Session) busy() bool { return len(s.waiting) > 0 || len(s.inFlight) > 0 }
 
 func (s *Session) expire(now time.Time) {
-	s.waiting = slices.DeleteFunc(s.waiting, func(a ask) bool {
+	s.waiting = slices.DeleteFunc(s.waiting, func(a pending) bool {
 		if a.deadline.IsZero() || now.Before(a.deadline) {
 			return false
 		}
 		s.refuse(a.id, outcome.ReasonQueueTimeout)
-		s.giveBack(a.id)
+		s.returnSlot(a.id)
 		return true
 	})
 }
 
-// watchCoordinator stops waiting for a coordinator that says nothing. It may be
-// dead, paused or cut off; the asks that wait are placed from here at once.
-func (s *Session) watchCoordinator(now time.Time) {
+// checkCoordinator stops waiting for a coordinator that sends nothing. It may have crashed, be
+// paused, or be cut off; the waiting requests are placed locally at once.
+func (s *Session) checkCoordinator(now time.Time) {
 	if !s.Coordinated() || len(s.waiting) == 0 {
 		return
 	}
-	if now.Sub(s.heard) < patience {
+	if now.Sub(s.lastHeard) < replyTimeout {
 		return
 	}
 	s.fallBack(now)
 }
 
-// fallBack chooses from here until the coordinator is heard again.
+// fallBack chooses targets locally until the coordinator responds again.
 func (s *Session) fallBack(now time.Time) {
 	if s.Coordinated() {
-		s.retryAt = now.Add(s.retry)
+		s.retryAt = now.Add(s.retryDelay)
 	}
-	s.silent = true
+	s.unresponsive = true
 	s.serve(now)
 }
 
-// retryCoordinator knocks at a silent coordinator from time to time. Asks go on
-// being placed here until it answers.
+// retryCoordinator sends a full frame to an unresponsive coordinator, with exponential backoff.
+// Requests are placed locally until it responds.
 func (s *Session) retryCoordinator(now time.Time) {
 	if s.coordinator == "" || now.Before(s.retryAt) {
 		return
 	}
-	s.retry = min(2*s.retry, maxRetry)
-	s.retryAt = now.Add(s.retry)
+	s.retryDelay = min(2*s.retryDelay, maxRetryDelay)
+	s.retryAt = now.Add(s.retryDelay)
 	s.fullFrame(now)
 }
 
-// findOverdue tells all hosts, once for each attempt, that it takes too long:
-// its target is taken for a straggler.
+// findOverdue notifies all hosts, once per attempt, that it is overdue, so that they treat its
+// target as a straggler.
 func (s *Session) findOverdue(now time.Time) {
-	limit := s.local.OverdueAfter()
+	limit := s.picker.OverdueAfter()
 	if limit == 0 {
 		return
 	}
-	for _, id := range s.sortedOpen() {
-		a := s.open[id]
-		if a.noticed || now.Sub(a.since) < limit {
+	for _, id := range s.sortedInFlight() {
+		a := s.inFlight[id]
+		if a.notified || now.Sub(a.since) < limit {
 			continue
 		}
-		a.noticed = true
-		s.open[id] = a
-		s.local.Overdue(now, a.target)
-		s.overdue = append(s.overdue, a.target)
+		a.notified = true
+		s.inFlight[id] = a
+		s.picker.MarkOverdue(now, a.target)
+		s.overdueTargets = append(s.overdueTargets, a.target)
 	}
 }
 
-// MarkOverdue takes another host's notice that attempts on these targets are
-// overdue.
+// MarkOverdue handles another host's notice that attempts on these targets are overdue.
 func (s *Session) MarkOverdue(now time.Time, ids []ports.HostID) {
 	for _, id := range ids {
-		s.local.Overdue(now, id)
+		s.picker.MarkOverdue(now, id)
 	}
 }
 
-// askLocally places an ask from here, or queues it if it can be served in time.
-func (s *Session) askLocally(now time.Time, a *ask) {
+// requestLocally places a request locally, or queues it if it can be served in time.
+func (s *Session) requestLocally(now time.Time, a *pending) {
 	s.retryCoordinator(now)
 	if s.serveOne(now, a) {
 		return
 	}
-	needs := s.local.Latency().RequiredTime(s.expectedWait())
+	needs := s.picker.Latency().RequiredTime(s.expectedWait())
 	if !a.deadline.IsZero() && now.Add(needs).After(a.deadline) {
 		s.refuse(a.id, outcome.ReasonDeadline)
 		return
@@ -129,17 +128,17 @@
 	s.waiting = append(s.waiting, *a)
 }
 
-// expectedWait is how long an ask that comes now waits for one of this host's
-// attempts to end.
+// expectedWait returns how long a request that arrives now is expected to wait for one of this
+// host's attempts to end.
 func (s *Session) expectedWait() time.Duration {
-	n := time.Duration(max(len(s.open), 1))
-	return s.local.Latency().Mean() * time.Duration(len(s.waiting)+1) / n
+	n := time.Duration(max(len(s.inFlight), 1))
+	return s.picker.Latency().Mean() * time.Duration(len(s.waiting)+1) / n
 }
 
-// fullFrame makes the next frame list all asks and attempts.
+// fullFrame makes the next frame list all requests and attempts.
 func (s *Session) fullFrame(now time.Time) {
 	s.lastFull = now
-	s.send = true
+	s.sendDue = true
 	s.frame.Full = true
 	s.frame.Zone = s.zone
 	s.frame.Requests = s.frame.Requests[:0]
@@ -147,30 +146,30 @@
 	for i := range s.waiting {
 		s.frame.Requests = append(s.frame.Requests, s.waiting[i].message(now))
 	}
-	for _, id := range s.sortedOpen() {
-		a := s.open[id]
+	for _, id := range s.sortedInFlight() {
+		a := s.inFlight[id]
 		s.frame.InFlight = append(s.frame.InFlight, grant.OpenAttempt{
-			ID: id, Target: a.target, Age: now.Sub(a.since), Exclusive: a.alone,
+			ID: id, Target: a.target, Age: now.Sub(a.since), Exclusive: a.exclusive,
 		})
 	}
 }
 
-// Output is what a session wants done. It belongs to the receiver.
+// Output holds the decisions and messages that a session produced. It is owned by the receiver.
 type Output struct {
 	Decisions []Decision
-	// To is the host that Frame goes to; empty if there is nothing to send.
+	// To is the host that Frame is sent to; empty if there is nothing to send.
 	To    ports.HostID
 	Frame grant.Frame
-	// Overdue is to be told to all other hosts.
+	// Overdue lists the targets of overdue attempts, of which all other hosts are to be notified.
 	Overdue []ports.HostID
 }
 
-// TakeOutput returns what is to be done and forgets it.
+// TakeOutput returns the output since the last call and clears it.
 func (s *Session) TakeOutput() Output {
-	out := Output{Decisions: s.decisions, Overdue: s.overdue}
+	out := Output{Decisions: s.decisions, Overdue: s.overdueTargets}
 	s.decisions = nil
-	s.overdue = nil
-	if !s.send || s.coordinator == "" {
+	s.overdueTargets = nil
+	if !s.sendDue || s.coordinator == "" {
 		return out
 	}
 	s.seq++
@@ -180,14 +179,14 @@
 	out.Frame.Epoch = s.epoch
 	out.Frame.Seq = s.seq
 	s.frame = grant.Frame{}
-	s.send = false
+	s.sendDue = false
 	return out
 }
 
-// sortedOpen returns the attempts in flight, oldest first.
-func (s *Session) sortedOpen() []grant.AttemptID {
-	ids := make([]grant.AttemptID, 0, len(s.open))
-	for id := range s.open {
+// sortedInFlight returns the attempts in flight, oldest first.
+func (s *Session) sortedInFlight() []grant.AttemptID {
+	ids := make([]grant.AttemptID, 0, len(s.inFlight))
+	for id := range s.inFlight {
 		ids = append(ids, id)
 	}
 	slices.SortFunc(ids, func(a, b grant.AttemptID) int { return cmp.Compare(a, b) })
