--- a/policy/sizes/sizes.go
+++ b/policy/sizes/sizes.go
@@ -1,44 +1,44 @@
-// Package sizes learns how large the answers to one kind of request are, so that where a
-// call goes can be weighed against the bytes that it moves between availability zones.
+// Package sizes estimates the size of responses to one kind of request, so that the choice of a
+// target can take the bytes transferred between availability zones into account.
 package sizes
 
 import "sync"
 
 const (
-	// first is reckoned with before any answer came, in bytes: that of a page of text.
-	first = 4 << 10
-	// steady is the number of answers that the usual size is a mean of, in the long run:
-	// sizes of one kind differ a few times, and 20 answers say what it is like. Before that
-	// all count alike: a host that gets 30 downloads of 90 kB a minute reckoned with 25 kB
-	// on the whole when each answer moved it by a twentieth from the first on.
-	steady = 20
+	// initialBytes is the estimate before the first response: that of a page of text.
+	initialBytes = 4 << 10
+	// maxSamples is the number of responses that the moving average covers in the long run: sizes
+	// of one kind vary by a small factor, and 20 responses are representative. Until then it is
+	// the plain mean. With a weight of a twentieth from the first response on, a host that got 30
+	// downloads of 90 kB a minute estimated 25 kB on average.
+	maxSamples = 20
 )
 
-// Estimator is the usual size of answers. The zero value knows nothing. It is safe for
-// concurrent use.
+// Estimator is a moving average of response sizes. The zero value is ready for use. It is safe
+// for concurrent use.
 type Estimator struct {
-	mu    sync.Mutex
-	seen  int
-	bytes float64
+	mu      sync.Mutex
+	samples int
+	bytes   float64
 }
 
-// Bytes returns the usual size in bytes.
+// Bytes returns the estimated size in bytes.
 func (u *Estimator) Bytes() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.seen == 0 {
-		return first
+	if u.samples == 0 {
+		return initialBytes
 	}
 	return u.bytes
 }
 
-// Observe takes in the size of an answer in bytes; -1 if it is not known.
+// Observe adds the size of a response in bytes; a negative size is unknown and ignored.
 func (u *Estimator) Observe(n int64) {
 	if n < 0 {
 		return
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.seen = min(u.seen+1, steady)
-	u.bytes += (float64(n) - u.bytes) / float64(u.seen)
+	u.samples = min(u.samples+1, maxSamples)
+	u.bytes += (float64(n) - u.bytes) / float64(u.samples)
 }
--- a/policy/sizes/sizes_test.go
+++ b/policy/sizes/sizes_test.go
@@ -6,13 +6,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// The first few answers count at once, one odd answer later does not turn it over, and
-// what is not known is passed over.
+// The first few responses take full effect, a single outlier later does not dominate, and unknown
+// sizes are ignored.
 func TestUsualSize(t *testing.T) {
 	var u Estimator
-	assert.Equal(t, u.Bytes(), float64(first))
+	assert.Equal(t, u.Bytes(), float64(initialBytes))
 	u.Observe(-1)
-	assert.Equal(t, u.Bytes(), float64(first))
+	assert.Equal(t, u.Bytes(), float64(initialBytes))
 	for range 3 {
 		u.Observe(90_000)
 	}
