--- a/policy/suspicion/record.go
+++ b/policy/suspicion/record.go
@@ -7,40 +7,41 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Record is what one host tells another of a request. Times are ages, because
-// the clocks of two hosts need not agree.
+// Record is the state of a request as sent between hosts. Times are sent as ages, because the
+// clocks of two hosts may differ.
 type Record struct {
 	Digest Digest `msgpack:"d"`
 	State  State  `msgpack:"s"`
-	// Age is how long the state has held, Quiet how long ago it was sent.
-	Age    time.Duration `msgpack:"a"`
-	SinceSent  time.Duration `msgpack:"q"`
-	Losses []LossRecord  `msgpack:"l"`
-	// KnownGood tells that some host remembers a whole answer to the request.
+	// Age is how long the state has been in effect, SinceSent how long ago the request was last
+	// sent.
+	Age       time.Duration `msgpack:"a"`
+	SinceSent time.Duration `msgpack:"q"`
+	Losses    []LossRecord  `msgpack:"l"`
+	// KnownGood is set if some host remembers a complete response to the request.
 	KnownGood bool `msgpack:"g"`
 }
 
-// LossRecord is a Loss as it is told.
+// LossRecord is a Loss as sent between hosts.
 type LossRecord struct {
 	Target ports.RunID   `msgpack:"t"`
 	Age    time.Duration `msgpack:"a"`
 	Trial  bool          `msgpack:"r"`
 }
 
-// Record returns what is held of a request, and false if there is nothing.
+// Record returns the state of a request, and false if it is clean.
 func (b *Tracker) Record(now time.Time, d Digest) (Record, bool) {
 	if b.State(now, d) == Clean {
 		return Record{}, false
 	}
 	e := b.entries[d]
-	r := Record{Digest: d, State: e.state, Age: now.Sub(e.since), SinceSent: now.Sub(e.sent), KnownGood: e.good}
+	r := Record{Digest: d, State: e.state, Age: now.Sub(e.since), SinceSent: now.Sub(e.sent), KnownGood: e.knownGood}
 	for _, l := range e.losses {
 		r.Losses = append(r.Losses, LossRecord{Target: l.Target, Age: now.Sub(l.At), Trial: l.Trial})
 	}
 	return r, true
 }
 
-// valid reports whether a record can be taken in; it comes from outside.
+// valid reports whether a record is well-formed; it comes from another host.
 func (r Record) valid() bool {
 	if r.State != Suspect && r.State != Quarantined {
 		return false
@@ -48,9 +49,9 @@
 	return r.Age >= 0 && r.SinceSent >= 0 && len(r.Losses) > 0 && len(r.Losses) <= maxLosses
 }
 
-// Merge takes in what another host told, and reports whether that host is behind:
-// the request has been cleared since. New losses add up to evidence here as if
-// they had been seen here; a quarantine is taken over.
+// Merge applies a record from another host. It reports whether that host is behind, because the
+// request has been cleared since. New losses count as evidence as if they had been observed here;
+// a quarantine is adopted.
 func (b *Tracker) Merge(now time.Time, r Record, knownGood bool) (behind bool) {
 	if !r.valid() {
 		return false
@@ -59,7 +60,7 @@
 		return true
 	}
 	e := b.ensure(r.Digest, now)
-	e.good = e.good || r.KnownGood || knownGood
+	e.knownGood = e.knownGood || r.KnownGood || knownGood
 	if at := now.Add(-r.SinceSent); e.sent.Before(at) {
 		e.sent = at
 	}
@@ -84,16 +85,16 @@
 	return max(0, age)
 }
 
-// mergeLosses remembers the losses, and reports whether there is new evidence
-// from this wave. Older losses are no evidence by themselves here: which other
-// targets were lost with them is no longer known.
-func (b *Tracker) mergeLosses(now time.Time, e *entry, told []LossRecord) bool {
+// mergeLosses records losses and reports whether there is new evidence within the loss window.
+// Older losses are no evidence by themselves, since it is no longer known which other targets
+// were lost with them.
+func (b *Tracker) mergeLosses(now time.Time, e *entry, records []LossRecord) bool {
 	fresh := false
-	for _, t := range told {
+	for _, t := range records {
 		l := Loss{Target: t.Target, At: now.Add(-max(0, t.Age)), Trial: t.Trial}
 		recent := now.Sub(l.At) < b.limits.LossWindow
 		if recent {
-			b.noteLoss(now, l)
+			b.recordLoss(now, l)
 		}
 		if e.add(l, b.limits.LossWindow) && recent {
 			fresh = true
@@ -102,13 +103,12 @@
 	return fresh
 }
 
-// ChangedWithin reports whether a record was changed by something that happened since age
-// ago.
+// ChangedWithin reports whether something changed the record within the last age.
 func (r Record) ChangedWithin(age time.Duration) bool {
 	return r.newest() <= age || r.State == Quarantined && r.Age <= age
 }
 
-// Newest returns up to n records, the latest changed ones first.
+// Newest returns up to n records, the most recently sent requests first.
 func (b *Tracker) Newest(now time.Time, n int) []Record {
 	b.Sweep(now)
 	digests := make([]Digest, 0, len(b.entries))
--- a/policy/suspicion/suspicion.go
+++ b/policy/suspicion/suspicion.go
@@ -1,12 +1,11 @@
-// Package suspicion decides which requests are held to crash the targets that
-// run them. It is pure: no goroutines, no clock, no messages; package quarantine
-// feeds it with what the hosts saw.
+// Package suspicion decides which requests are considered to crash the targets that run them. It
+// is pure: no goroutines, no clock, no messages; package quarantine feeds it with the
+// observations of the hosts.
 //
-// A connection that breaks off while a request runs makes the request a suspect.
-// A suspect is tried alone: at most one run at a time over all hosts, on a
-// target that runs nothing else. Any whole answer proves innocence. A suspect
-// whose connections broke off at two targets is quarantined: held for a moment,
-// and then refused, unless other targets were lost at the same time that no
+// A connection that breaks while a request runs makes the request a suspect. A suspect is tried
+// in isolation: at most one run at a time over all hosts, on a target that runs nothing else. Any
+// complete response clears it. A suspect whose connections broke at two targets is quarantined:
+// held for a moment and then refused, unless other targets were lost at the same time that no
 // request can have crashed.
 package suspicion
 
@@ -19,15 +18,15 @@
 // Digest identifies a request; equal requests have equal digests.
 type Digest = uint64
 
-// State is what is held of a request.
+// State is the verdict on a request.
 type State uint8
 
 const (
 	// Clean requests run like any other.
 	Clean State = iota
-	// Suspect requests run alone.
+	// Suspect requests run in isolation.
 	Suspect
-	// Quarantined requests are refused, once the quarantine has settled.
+	// Quarantined requests are refused, once the quarantine is confirmed.
 	Quarantined
 )
 
@@ -45,84 +44,84 @@
 	}
 }
 
-// Limits are the times and sizes of the decisions.
+// Limits are the durations and sizes that decisions depend on.
 type Limits struct {
-	// LossWindow is the time within which losses are taken for one event: of one
-	// target, as many broken connections of one crash; of several targets, as a
-	// failure of zones or hosts that no request caused.
+	// LossWindow is the time within which losses count as one event: of one target, as many
+	// connections broken by one crash; of several targets, as a failure of zones or hosts that no
+	// request caused.
 	LossWindow time.Duration
-	// MassLossTargets is the number of targets lost in the same wave that no quarantined
-	// request ran on, from which on a request is not held to be the cause.
+	// MassLossTargets is the number of targets lost in the same window without running a
+	// quarantined request from which on a request is not considered the cause.
 	MassLossTargets int
-	// SettleTime is how long a request is held, neither run nor refused, before its
-	// quarantine is decided on; it is less than Wave.
+	// SettleTime is how long a request is held, neither run nor refused, before its quarantine is
+	// confirmed or dropped; it is less than LossWindow.
 	SettleTime time.Duration
-	// SuspectTTL is how long a suspect that is not sent again stays one.
+	// SuspectTTL is how long a request stays a suspect after it was last sent.
 	SuspectTTL time.Duration
-	// ReleaseAfterIdle is how long a quarantined request must not be sent until it is
-	// tried alone again.
+	// ReleaseAfterIdle is how long a quarantined request must not be sent until it is tried in
+	// isolation again.
 	ReleaseAfterIdle time.Duration
-	// MaxQuarantine is how long a request that is sent on and on is refused
-	// until it is tried alone again.
+	// MaxQuarantine is how long a request that keeps being sent is refused until it is tried in
+	// isolation again.
 	MaxQuarantine time.Duration
-	// TrialTimeout is how long one trial keeps others away, should its end never
-	// be heard of. It has to be longer than the calls that matter.
+	// TrialTimeout is how long a trial excludes others if its end is never reported. It has to
+	// exceed the duration of the calls that matter.
 	TrialTimeout time.Duration
-	// MaxEntries bounds the requests remembered; the longest unchanged suspects
-	// are forgotten first.
+	// MaxEntries limits the number of requests tracked; the suspects that were sent the longest
+	// ago are dropped first.
 	MaxEntries int
 }
 
-// DefaultLimits returns the limits in common use.
+// DefaultLimits returns the default limits.
 func DefaultLimits() Limits {
 	return Limits{
-		LossWindow:          time.Second,
-		MassLossTargets:      1,
-		SettleTime:        250 * time.Millisecond,
-		SuspectTTL:    10 * time.Minute,
-		ReleaseAfterIdle:      10 * time.Minute,
-		MaxQuarantine: 24 * time.Hour,
-		TrialTimeout:      time.Minute,
-		MaxEntries:    4096,
+		LossWindow:       time.Second,
+		MassLossTargets:  1,
+		SettleTime:       250 * time.Millisecond,
+		SuspectTTL:       10 * time.Minute,
+		ReleaseAfterIdle: 10 * time.Minute,
+		MaxQuarantine:    24 * time.Hour,
+		TrialTimeout:     time.Minute,
+		MaxEntries:       4096,
 	}
 }
 
-// Loss is one target lost while it ran a request.
+// Loss is the loss of one target while it ran a request.
 type Loss struct {
 	Target ports.RunID
 	At     time.Time
-	// Trial tells that the request ran alone.
+	// Trial is set if the request ran in isolation.
 	Trial bool
 }
 
-// BrokenRun is one run that broke off.
+// BrokenRun is a run whose connection broke.
 type BrokenRun struct {
 	Digest Digest
 	Loss
-	// KnownGood tells that an earlier run of the request ended with a whole
-	// answer, as far as the host remembers.
+	// KnownGood is set if the host remembers a complete response to an earlier run of the
+	// request.
 	KnownGood bool
 }
 
-// entry is what is remembered of one request.
+// entry is the state of one request.
 type entry struct {
 	state  State
 	losses []Loss
-	// since is when the present state began, sent when the request last came.
+	// since is when the current state began, sent when the request last arrived.
 	since time.Time
 	sent  time.Time
 	trial trial
-	// good tells that some host remembers a whole answer to this request.
-	good bool
-	// settled tells that a quarantine has been decided on.
+	// knownGood is set if some host remembers a complete response to this request.
+	knownGood bool
+	// settled is set once a quarantine is confirmed.
 	settled bool
-	// excused is when a quarantine was last taken back. Losses of other targets
-	// from before then excuse the request no more: otherwise it could take one
-	// target after the other for as long as the wave lasts.
-	excused time.Time
+	// excusedAt is when a quarantine was last dropped. Earlier losses of other targets do not
+	// excuse the request again: otherwise it could crash one target after the other for the
+	// length of the loss window.
+	excusedAt time.Time
 }
 
-// trial is the permission to run a suspect.
+// trial is the permission to run a suspect in isolation.
 type trial struct {
 	holder ports.HostID
 	until  time.Time
@@ -137,22 +136,21 @@
 	e.settled = false
 }
 
-// blamed reports whether the request was lost with two targets, one of which ran it
-// alone, or with as many as Need says and was never seen to be answered. One that
-// several targets ran at the same moment and that was answered before is more likely
-// a common request on several failing targets: it gets its trial.
+// blamed reports whether the losses are enough to blame the request: two targets, one of which
+// ran it in isolation, or as many as SetMinLosses says without a complete response ever. A
+// request that several targets ran at once and that was answered before is more likely a common
+// request on several failing targets, so it gets a trial first.
 func (b *Tracker) blamed(e *entry) bool {
-	if e.tried() {
-		return len(e.losses) >= leastLosses
+	if e.trialed() {
+		return len(e.losses) >= defaultMinLosses
 	}
-	return len(e.losses) >= b.need && !e.good
+	return len(e.losses) >= b.minLosses && !e.knownGood
 }
 
-// add remembers a loss, and reports whether it is new evidence: not one that is
-// already remembered.
-func (e *entry) add(l Loss, wave time.Duration) bool {
+// add records a loss and reports whether it is new evidence.
+func (e *entry) add(l Loss, window time.Duration) bool {
 	for i, old := range e.losses {
-		if old.Target == l.Target && apart(old.At, l.At) < wave {
+		if old.Target == l.Target && absDiff(old.At, l.At) < window {
 			e.losses[i].Trial = old.Trial || l.Trial
 			return l.Trial && !old.Trial
 		}
@@ -164,10 +162,10 @@
 	return true
 }
 
-// maxLosses bounds the losses kept for one request; two decide.
+// maxLosses limits the losses kept per request; two are decisive.
 const maxLosses = 8
 
-func (e *entry) lost(id ports.RunID) bool {
+func (e *entry) lostWith(id ports.RunID) bool {
 	for _, l := range e.losses {
 		if l.Target == id {
 			return true
@@ -176,8 +174,9 @@
 	return false
 }
 
-// untried returns how many of these losses beyond the first came without a trial.
-func (e *entry) untried(counts func(Loss) bool) int {
+// untrialed returns the number of losses outside of trials that satisfy counts, less one but not
+// below 0.
+func (e *entry) untrialed(counts func(Loss) bool) int {
 	n := 0
 	for _, l := range e.losses {
 		if !l.Trial && counts(l) {
@@ -187,7 +186,7 @@
 	return max(0, n-1)
 }
 
-func (e *entry) tried() bool {
+func (e *entry) trialed() bool {
 	for _, l := range e.losses {
 		if l.Trial {
 			return true
@@ -196,4 +195,4 @@
 	return false
 }
 
-func apart(a, b time.Time) time.Duration { return a.Sub(b).Abs() }
+func absDiff(a, b time.Time) time.Duration { return a.Sub(b).Abs() }
--- a/policy/suspicion/tracker.go
+++ b/policy/suspicion/tracker.go
@@ -6,48 +6,48 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Tracker is one host's knowledge of suspects. It is not safe for concurrent use.
+// Tracker holds one host's knowledge of suspect requests. It is not safe for concurrent use.
 type Tracker struct {
 	limits  Limits
 	entries map[Digest]*entry
-	// losses are the targets lost of late, with the last loss of each.
+	// losses holds the last loss of each recently lost target.
 	losses map[ports.RunID]Loss
-	// accused is when each request was accused of late, cleared since or not.
+	// accused holds when each request was recently accused, whether cleared since or not.
 	accused map[Digest]time.Time
-	// cleared are the requests lately proved innocent: what other hosts still
-	// tell of them is out of date.
+	// cleared holds when requests were recently cleared: older records of them from other hosts
+	// are out of date.
 	cleared map[Digest]time.Time
-	// need is how many targets a request must have been lost with, if it was never
-	// tried alone, to be held for the cause.
-	need int
+	// minLosses is the number of lost targets from which a request is blamed that never ran in
+	// isolation.
+	minLosses int
 }
 
-// leastLosses is that number where every host hears of every suspect at once, and
-// sends a suspect to a target that runs nothing else.
-const leastLosses = 2
+// defaultMinLosses applies if every host learns of every suspect at once, and sends suspects only
+// to targets that run nothing else.
+const defaultMinLosses = 2
 
-// SetMinLosses sets how many targets a request must have been lost with to be held for the
-// cause without a trial, 2 or more. Where not every host hears of a suspect, an
-// innocent request may run beside a guilty one twice.
-func (b *Tracker) SetMinLosses(losses int) { b.need = max(losses, leastLosses) }
+// SetMinLosses sets the number of lost targets from which a request is blamed without a trial, 2
+// or more. If not every host learns of a suspect, an innocent request may run beside a guilty one
+// twice.
+func (b *Tracker) SetMinLosses(losses int) { b.minLosses = max(losses, defaultMinLosses) }
 
 // NewTracker returns an empty tracker.
 func NewTracker(l Limits) *Tracker {
 	return &Tracker{
-		limits:  l,
-		need:    leastLosses,
-		entries: make(map[Digest]*entry),
-		losses:  make(map[ports.RunID]Loss),
-		accused: make(map[Digest]time.Time),
-		cleared: make(map[Digest]time.Time),
+		limits:    l,
+		minLosses: defaultMinLosses,
+		entries:   make(map[Digest]*entry),
+		losses:    make(map[ports.RunID]Loss),
+		accused:   make(map[Digest]time.Time),
+		cleared:   make(map[Digest]time.Time),
 	}
 }
 
-// Len returns the number of requests remembered.
+// Len returns the number of requests tracked.
 func (b *Tracker) Len() int { return len(b.entries) }
 
-// State returns what is held of a request. Times that have passed take effect
-// here: a suspect is forgotten, a quarantined request becomes a suspect.
+// State returns the state of a request after applying timeouts: an expired suspect is dropped,
+// and an expired quarantine makes the request a suspect.
 func (b *Tracker) State(now time.Time, d Digest) State {
 	e := b.entries[d]
 	if e == nil {
@@ -68,29 +68,30 @@
 	return e.state
 }
 
-// Settled reports whether a request is to be refused, not held.
+// Settled reports whether the quarantine of a request is confirmed, so that it is refused and not
+// held.
 func (b *Tracker) Settled(now time.Time, d Digest) bool {
 	return b.State(now, d) == Quarantined && b.entries[d].settled
 }
 
-// settle decides on a quarantine once it is old enough.
+// settle confirms or drops a quarantine once it is SettleTime old.
 //
-// Targets of a zone that die milliseconds apart make a request that was sent again look as if it
-// crashed two. Once the moment has passed, the other losses are known.
+// When the targets of a zone fail milliseconds apart, a retried request looks as if it crashed
+// two of them. After SettleTime the other losses are known.
 func (b *Tracker) settle(now time.Time, e *entry) {
 	if e.settled || now.Sub(e.since) < b.limits.SettleTime {
 		return
 	}
 	if !b.blamed(e) || b.unexplained(e) >= b.limits.MassLossTargets || b.accusedWith(e) > maxAccused {
 		e.setState(Suspect, now)
-		e.excused = now
+		e.excusedAt = now
 		return
 	}
 	e.settled = true
 }
 
-// release makes a quarantined request a suspect of one loss: one more loss in a
-// trial quarantines it again.
+// release makes a quarantined request a suspect with one loss, so that one more loss in a trial
+// quarantines it again.
 func (b *Tracker) release(e *entry, now time.Time) {
 	e.setState(Suspect, now)
 	e.losses = e.losses[:1]
@@ -99,7 +100,7 @@
 	e.sent = now
 }
 
-// RecordSent notes that a request came again, and returns its state.
+// RecordSent records that a request was sent again and returns its state.
 func (b *Tracker) RecordSent(now time.Time, d Digest) State {
 	s := b.State(now, d)
 	if e := b.entries[d]; e != nil {
@@ -108,19 +109,19 @@
 	return s
 }
 
-// RecordBrokenRun takes in a run that broke off and returns the request's state.
+// RecordBrokenRun records a run whose connection broke and returns the request's state.
 func (b *Tracker) RecordBrokenRun(now time.Time, r BrokenRun) State {
-	b.noteLoss(now, r.Loss)
+	b.recordLoss(now, r.Loss)
 	e := b.ensure(r.Digest, now)
 	e.sent = now
-	e.good = e.good || r.KnownGood
+	e.knownGood = e.knownGood || r.KnownGood
 	if e.add(r.Loss, b.limits.LossWindow) && b.blamed(e) {
 		b.accuse(r.Digest, e, now)
 	}
 	return e.state
 }
 
-// accuse quarantines a request; settle decides whether it stays so.
+// accuse quarantines a request; settle later confirms or drops the quarantine.
 func (b *Tracker) accuse(d Digest, e *entry, at time.Time) {
 	e.setState(Quarantined, at)
 	for old, t := range b.accused {
@@ -131,12 +132,12 @@
 	b.accused[d] = at
 }
 
-// RecordLostTarget takes in that a target can not be reached any more, whatever ran on it.
+// RecordLostTarget records that a target is unreachable, whatever it ran.
 func (b *Tracker) RecordLostTarget(now time.Time, target ports.RunID) {
-	b.noteLoss(now, Loss{Target: target, At: now})
+	b.recordLoss(now, Loss{Target: target, At: now})
 }
 
-// ensure returns the entry of a request, making a suspect of a clean one.
+// ensure returns the entry of a request, and makes a clean request a suspect.
 func (b *Tracker) ensure(d Digest, now time.Time) *entry {
 	if e := b.entries[d]; e != nil {
 		return e
@@ -147,39 +148,38 @@
 	return e
 }
 
-// unexplained counts the targets lost in the wave of this quarantine that speak
-// for the request: those that no accused request ran on. Two requests that crash
-// targets at the same time explain each other's.
+// unexplained counts the losses in the window of this quarantine that speak for the innocence of
+// the request: targets that no accused request ran on. Two requests that crash targets at the
+// same time explain each other's losses.
 //
-// A request that is often in flight is lost with any zone that dies. So one that was answered before
-// explains no loss, and any other target lost speaks for it, as do its own untried losses but the
-// first.
+// A request that is often in flight is lost with any zone that fails. So one that was answered
+// before explains no loss of others, and every other lost target counts, as do all but the first
+// of its own losses outside of trials.
 func (b *Tracker) unexplained(e *entry) int {
 	counts := func(l Loss) bool {
-		return apart(l.At, e.since) < b.limits.LossWindow && l.At.After(e.excused)
+		return absDiff(l.At, e.since) < b.limits.LossWindow && l.At.After(e.excusedAt)
 	}
 	n := 0
-	if e.good {
-		n = e.untried(counts)
+	if e.knownGood {
+		n = e.untrialed(counts)
 	}
 	for id, l := range b.losses {
-		if counts(l) && !e.lost(id) && (e.good || !b.explained(id)) {
+		if counts(l) && !e.lostWith(id) && (e.knownGood || !b.explained(id)) {
 			n++
 		}
 	}
 	return n
 }
 
-// maxAccused is the number of requests that may be held guilty in one wave. More
-// at once are more likely victims of a dying zone that seem to explain each
-// other's losses.
+// maxAccused is the number of requests that may be blamed within one loss window. More than that
+// are likely victims of a failing zone that seem to explain each other's losses.
 const maxAccused = 2
 
-// accusedWith counts the requests accused in the wave of this quarantine.
+// accusedWith counts the requests accused in the window of this quarantine.
 func (b *Tracker) accusedWith(e *entry) int {
 	n := 0
 	for _, at := range b.accused {
-		if apart(at, e.since) < b.limits.LossWindow && at.After(e.excused) {
+		if absDiff(at, e.since) < b.limits.LossWindow && at.After(e.excusedAt) {
 			n++
 		}
 	}
@@ -188,14 +188,14 @@
 
 func (b *Tracker) explained(id ports.RunID) bool {
 	for _, e := range b.entries {
-		if e.state == Quarantined && !e.good && e.lost(id) {
+		if e.state == Quarantined && !e.knownGood && e.lostWith(id) {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *Tracker) noteLoss(now time.Time, l Loss) {
+func (b *Tracker) recordLoss(now time.Time, l Loss) {
 	for id, old := range b.losses {
 		if now.Sub(old.At) >= 2*b.limits.LossWindow {
 			delete(b.losses, id)
@@ -206,9 +206,9 @@
 	}
 }
 
-// Clear takes in that a request is innocent, by a whole answer to it or by an
-// operator's word, and reports whether it had been suspected. What other hosts
-// still tell of it from before now counts no more.
+// Clear records that a request is innocent, shown by a complete response or stated by an
+// operator, and reports whether it was suspected. Older records from other hosts are ignored from
+// now on.
 func (b *Tracker) Clear(now time.Time, d Digest) bool {
 	if b.entries[d] == nil {
 		return false
@@ -221,7 +221,7 @@
 	return true
 }
 
-// Sweep forgets what has expired.
+// Sweep drops expired entries.
 func (b *Tracker) Sweep(now time.Time) {
 	for d := range b.entries {
 		b.State(now, d)
@@ -233,8 +233,8 @@
 	}
 }
 
-// makeRoom forgets one request if the tracker is full: the suspect that was sent
-// the longest ago or, there being none, the quarantined one.
+// makeRoom drops one request if the tracker is full: the suspect that was sent the longest ago
+// or, if there is none, such a quarantined request.
 func (b *Tracker) makeRoom() {
 	if len(b.entries) < b.limits.MaxEntries {
 		return
@@ -249,7 +249,7 @@
 	delete(b.entries, oldest)
 }
 
-// Digests returns the requests remembered in this state.
+// Digests returns the tracked requests in the given state.
 func (b *Tracker) Digests(s State) []Digest {
 	var out []Digest
 	for d, e := range b.entries {
--- a/policy/suspicion/trial.go
+++ b/policy/suspicion/trial.go
@@ -10,19 +10,19 @@
 type Admission uint8
 
 const (
-	// Unrestricted requests are not suspected: run them like any other.
+	// Unrestricted requests are not suspected and run like any other.
 	Unrestricted Admission = iota + 1
-	// Exclusive gives the one permission to try a suspect.
+	// Exclusive grants the only permission to run a suspect in isolation.
 	Exclusive
-	// Busy means that another trial is under way, or that its verdict has yet
-	// to settle; ask again.
+	// Busy means that another trial is running, or that the quarantine is not confirmed yet; ask
+	// again.
 	Busy
 	// Refused requests are quarantined.
 	Refused
 )
 
-// Admit asks to run a request. One host keeps the trials of a request, so that
-// two hosts do not lose two targets to it at the same moment.
+// Admit asks for permission to run a request. All trials of a request go through one host's
+// tracker, so that no two hosts lose targets to it at the same time.
 func (b *Tracker) Admit(now time.Time, d Digest, holder ports.HostID) Admission {
 	switch b.RecordSent(now, d) {
 	case Clean:
@@ -41,8 +41,8 @@
 	return Exclusive
 }
 
-// EndTrial gives the permission back. The request may be tried again unless
-// what was seen meanwhile speaks against it.
+// EndTrial returns the permission. The request may be tried again unless observations in the
+// meantime blame it.
 func (b *Tracker) EndTrial(d Digest, holder ports.HostID) {
 	if e := b.entries[d]; e != nil && e.trial.holder == holder {
 		e.trial = trial{}
