--- a/policy/watchers/turns.go
+++ b/policy/watchers/turns.go
@@ -11,25 +11,26 @@
 )
 
 const (
-	// stagger is the time between the turns of two hosts to take over, long
-	// enough for the heartbeat of the first to reach the second.
-	stagger = 60 * time.Millisecond
-	// maxStagger is how long hosts take their turns one by one, and then once more how
-	// long those that are left take theirs, lateStagger apart.
+	// turnInterval is the time between the turns of two hosts to take over, long enough for the
+	// heartbeat of the first to reach the second.
+	turnInterval = 60 * time.Millisecond
+	// earlyTurns is the period in which hosts take turns one at a time, turnInterval apart. The
+	// remaining hosts take theirs in a second period of the same length, lateTurnInterval apart.
 	//
-	// Hosts that all waited for one last turn would watch all at once where heartbeats are late. A late
-	// turn is only reached if nobody before could read the store.
-	maxStagger  = 800 * time.Millisecond
-	lateStagger = 8 * time.Millisecond
-	// outageStagger is the time between two turns while the store is out for all: each is
-	// a call in vain.
-	outageStagger = 400 * time.Millisecond
+	// If all remaining hosts shared one last turn, all would start to watch at once when
+	// heartbeats are delayed. A late turn is only reached if no earlier host could read the
+	// store.
+	earlyTurns       = 800 * time.Millisecond
+	lateTurnInterval = 8 * time.Millisecond
+	// outageTurnInterval is the time between two turns while the store is down for all hosts,
+	// when each turn is a wasted call.
+	outageTurnInterval = 400 * time.Millisecond
 )
 
-// IsFirst reports whether a host has its turn before all of the others.
+// IsFirst reports whether a host's turn is before those of all others.
 func IsFirst(self ports.HostID, others []ports.HostID) bool { return Rank(self, others) == 0 }
 
-// Rank is how many of the others have their turn before a host.
+// Rank returns how many of the others have their turn before a host.
 func Rank(self ports.HostID, others []ports.HostID) int {
 	ahead := 0
 	for _, id := range others {
@@ -40,7 +41,7 @@
 	return ahead
 }
 
-// turn returns how long this host lets others go first.
+// turn returns how long this host waits for hosts with earlier turns.
 func (d *Decider) turn(hosts, fresh []ports.HostID, outage bool) time.Duration {
 	ahead := 0
 	for _, id := range hosts {
@@ -49,22 +50,23 @@
 		}
 	}
 	if outage {
-		return time.Duration(ahead) * outageStagger
+		return time.Duration(ahead) * outageTurnInterval
 	}
-	early := time.Duration(ahead) * stagger
-	if early <= maxStagger {
+	early := time.Duration(ahead) * turnInterval
+	if early <= earlyTurns {
 		return early
 	}
-	late := time.Duration(ahead)*lateStagger - maxStagger*lateStagger/stagger
-	return maxStagger + min(late, maxStagger)
+	late := time.Duration(ahead)*lateTurnInterval - earlyTurns*lateTurnInterval/turnInterval
+	return earlyTurns + min(late, earlyTurns)
 }
 
-// relayChoice is how many hosts of an availability zone pass changes on by turns. One
-// alone would lose all changes for as long as its silence is not noticed; with all of them
-// every host would keep connections to every other of its zone.
-const relayChoice = 3
+// relayCandidates is the number of hosts of an availability zone that relay changes alternately.
+// A single one would lose all changes until its failure is detected; with all of them, every host
+// would need connections to every other host of its zone.
+const relayCandidates = 3
 
-// RelayOrder orders the hosts of an availability zone by who is to pass a change on there.
+// RelayOrder sorts the hosts of an availability zone, in place, by their precedence for relaying
+// a change there. The first few are shuffled.
 func RelayOrder(rng *rand.Rand, hosts []ports.HostID) []ports.HostID {
 	slices.SortFunc(hosts, func(a, b ports.HostID) int {
 		if before(a, b) {
@@ -72,12 +74,12 @@
 		}
 		return 1
 	})
-	first := hosts[:min(relayChoice, len(hosts))]
+	first := hosts[:min(relayCandidates, len(hosts))]
 	rng.Shuffle(len(first), func(i, j int) { first[i], first[j] = first[j], first[i] })
 	return hosts
 }
 
-// before is the order in which hosts take their turns, the same on all of them.
+// before defines the order of the turns, which is the same on all hosts.
 func before(a, b ports.HostID) bool {
 	ha, hb := xxhash.Sum64String(string(a)), xxhash.Sum64String(string(b))
 	if ha != hb {
--- a/policy/watchers/watchers.go
+++ b/policy/watchers/watchers.go
@@ -1,7 +1,9 @@
-// Package watchers decides which entry hosts watch the platform's record for all.
-// Calls to the platform's store are paid for and limited, and every change wakes
-// every watch; so a few hosts watch and pass on what they see, and any other
-// host takes over when too few of them are heard.
+// Package watchers elects the entry hosts that watch the platform's record on behalf of all.
+//
+// Calls to the platform's store are billed and rate-limited, and every change wakes every watch.
+// So a few hosts watch and relay what they see to the others, and any other host takes over when
+// too few of them send heartbeats. There is no consensus: hosts take turns in an order that all
+// of them agree on.
 package watchers
 
 import (
@@ -11,82 +13,81 @@
 )
 
 const (
-	// WantedWatchers is how many hosts watch: with one, its silence would cost all hosts
-	// the time to notice it.
+	// WantedWatchers is the number of hosts that watch. With a single one, all hosts would miss
+	// changes until its failure is detected.
 	WantedWatchers = 2
-	// outageTries is how many hosts must have tried the store in vain before it counts as
-	// out for all, refusedFor how long such a try counts. With 60% of all hosts turned
-	// away ten in a row are met once in 165 times.
+	// outageTries is the number of hosts that must have failed to reach the store before it is
+	// considered down for all, and failureTTL how long such a failure counts. If the store turns
+	// away 60% of all hosts, ten failures in a row occur by chance once in 165 times.
 	outageTries = 10
-	refusedFor  = 10 * time.Second
-	// spare is how long a watcher that is one too many goes on.
-	spare = 600 * time.Millisecond
+	failureTTL  = 10 * time.Second
+	// surplusGrace is how long a surplus watcher continues.
+	surplusGrace = 600 * time.Millisecond
 )
 
-// Decider decides for one host. It is not safe for concurrent use.
+// Decider decides for one host whether it watches. It is not safe for concurrent use.
 type Decider struct {
 	self ports.HostID
-	// shortSince is when too few watchers were left, spareSince when there was
-	// one too many; zero if not so.
-	shortSince time.Time
-	spareSince time.Time
+	// shortSince is the time since when there are too few watchers, surplusSince since when there
+	// is one too many; zero if there are not.
+	shortSince   time.Time
+	surplusSince time.Time
 	// retryAt is the earliest next try after the store failed this host.
 	retryAt time.Time
-	// deferredTo is the earliest try of all.
+	// deferredTo is the earliest time of any try.
 	deferredTo time.Time
-	// outage is set if the store seemed to be out for all when last asked.
+	// outage is set if the store seemed to be down for all hosts at the last decision.
 	outage bool
 }
 
-// NewDecider returns a decider of a host.
+// NewDecider returns the decider of host self.
 func NewDecider(self ports.HostID) *Decider { return &Decider{self: self} }
 
-// DeferUntil has the host let others go first until a moment, as at a start: seeds are
-// up by then if anybody is.
+// DeferUntil keeps the host from taking over until the given time. After a start this leaves the
+// task to the seed hosts, which are up by then if any host is.
 func (d *Decider) DeferUntil(until time.Time) { d.deferredTo = until }
 
-// View is what a decision rests on.
+// View is the input of a decision.
 type View struct {
-	// Hosts are all entry hosts known, this one included.
+	// Hosts are all known entry hosts, including this one.
 	Hosts []ports.HostID
-	// Heartbeats are the last heartbeats of others that watch.
+	// Heartbeats are the last heartbeats of other watchers.
 	Heartbeats map[ports.HostID]Heartbeat
 	// Watching is set if this host watches, StoreOK if the store serves it.
 	Watching bool
 	StoreOK  bool
-	// FailedTakeovers is when hosts last tried to take over and the store did not serve them,
-	// without those who did so before it last answered any host.
+	// FailedTakeovers is when hosts last tried to take over and were not served by the store,
+	// without those tries that preceded the store's last response to any host.
 	FailedTakeovers map[ports.HostID]time.Time
 }
 
-// outage reports whether the store seems to be out for all hosts: of late it failed as
-// many that tried as would hardly be found by chance if it served the others.
+// outage reports whether the store seems to be down for all hosts: so many recent tries failed
+// that chance is an unlikely explanation if it served the other hosts.
 func (v View) outage(now time.Time) bool {
 	failed := 0
 	for _, at := range v.FailedTakeovers {
-		if now.Sub(at) < refusedFor {
+		if now.Sub(at) < failureTTL {
 			failed++
 		}
 	}
 	return failed >= min(outageTries, max(1, len(v.Hosts)*2/3))
 }
 
-// Decide reports whether this host should watch now, and when to ask again at
-// the latest.
+// Decide reports whether this host should watch now, and the latest time to ask again.
 func (d *Decider) Decide(now time.Time, v View) (watch bool, next time.Time) {
 	fresh, expiry := freshWatchers(now, v.Heartbeats)
 	if v.Watching {
-		return d.keep(now, v, fresh)
+		return d.decideWatching(now, v, fresh)
 	}
-	d.spareSince = time.Time{}
+	d.surplusSince = time.Time{}
 	if len(fresh) >= WantedWatchers {
 		d.shortSince = time.Time{}
 		return false, expiry
 	}
 	out := v.outage(now)
 	if d.shortSince.IsZero() || d.outage && !out {
-		// The store is back, and the turns begin anew: those of the outage are long
-		// past for all hosts, and all would begin to watch at once.
+		// The store is back, so the turns start over: those of the outage have passed for all
+		// hosts, which would all start to watch at once.
 		d.shortSince = now
 		d.retryAt = time.Time{}
 	}
@@ -100,43 +101,42 @@
 	return !now.Before(at), at
 }
 
-// keep decides for a host that watches.
-func (d *Decider) keep(now time.Time, v View, fresh []ports.HostID) (bool, time.Time) {
+// decideWatching decides for a host that watches.
+func (d *Decider) decideWatching(now time.Time, v View, fresh []ports.HostID) (bool, time.Time) {
 	d.shortSince = time.Time{}
 	again := now.Add(HeartbeatInterval)
 	if len(fresh) < WantedWatchers {
-		d.spareSince = time.Time{}
+		d.surplusSince = time.Time{}
 		return true, again
 	}
 	if !v.StoreOK {
 		return false, again
 	}
 	if Rank(d.self, fresh) < WantedWatchers {
-		d.spareSince = time.Time{}
+		d.surplusSince = time.Time{}
 		return true, again
 	}
-	if d.spareSince.IsZero() {
-		d.spareSince = now
+	if d.surplusSince.IsZero() {
+		d.surplusSince = now
 	}
-	return now.Sub(d.spareSince) < spare, again
+	return now.Sub(d.surplusSince) < surplusGrace, again
 }
 
-// RecordFailure notes that the store did not serve this host's try to take over. While
-// the store is out for everybody all hosts try by turns, so that together they
-// make one call every stagger, however many they are, and fewer once it is known that
-// it is out. Once each has tried, those that watched before go on trying for all, as
-// long as they are heard.
+// RecordFailure records that the store did not serve this host's try to take over. While the
+// store is down for all hosts, they try in turns, so that together they make one call per
+// turnInterval whatever their number, and fewer once the outage is detected. Once each has tried,
+// the former watchers continue to try on behalf of all as long as their heartbeats arrive.
 func (d *Decider) RecordFailure(now time.Time, v View) {
 	hosts := time.Duration(len(v.Hosts))
 	switch {
 	case v.outage(now):
-		d.retryAt = now.Add(max(hosts*outageStagger, maxRetry))
-	case anyHeard(now, v.Heartbeats):
-		d.retryAt = now.Add(maxRetry)
+		d.retryAt = now.Add(max(hosts*outageTurnInterval, maxRetryDelay))
+	case anyAlive(now, v.Heartbeats):
+		d.retryAt = now.Add(maxRetryDelay)
 	default:
-		d.retryAt = now.Add(min(max(hosts*stagger, 4*stagger), maxRetry))
+		d.retryAt = now.Add(min(max(hosts*turnInterval, 4*turnInterval), maxRetryDelay))
 	}
 }
 
-// maxRetry bounds how long a host waits before it tries the store again.
-const maxRetry = 5 * time.Second
+// maxRetryDelay is the longest time before a host tries the store again, except during an outage.
+const maxRetryDelay = 5 * time.Second
--- a/policy/watchers/watchers_test.go
+++ b/policy/watchers/watchers_test.go
@@ -22,7 +22,8 @@
 	return out
 }
 
-// firstAsked returns when a host that asks again as told begins to watch.
+// firstWatch returns how long after from a host starts to watch if it calls Decide at the times
+// that Decide returns; -1 if it does not.
 func firstWatch(d *Decider, from time.Time, v View) time.Duration {
 	now := from
 	for now.Before(from.Add(10 * time.Second)) {
@@ -35,10 +36,10 @@
 	return -1
 }
 
-// Both watchers freeze at the same moment, just after a target began to leave.
-// No heartbeat comes any more; some other host must have taken over soon enough
-// to read of it within 2 s, also if the first three in turn are turned away.
-func TestTakesOverWithinASecondOfSilence(t *testing.T) {
+// Both watchers hang at the same moment, just after a target started to leave, and send no more
+// heartbeats. Another host must take over soon enough to read the change within 2 s, even if the
+// store turns away the first three.
+func TestTakesOverWithinASecondWithoutHeartbeats(t *testing.T) {
 	all := hosts(14)
 	beats := map[ports.HostID]Heartbeat{
 		all[0]: {ReceivedAt: start, StoreOK: true},
@@ -47,7 +48,7 @@
 	early := 0
 	for _, id := range all[2:] {
 		took := firstWatch(NewDecider(id), start, View{Hosts: all, Heartbeats: beats})
-		assert.Check(t, took > 0 && took <= silentAfter+maxStagger, "%s after %s", id, took)
+		assert.Check(t, took > 0 && took <= heartbeatTimeout+earlyTurns, "%s after %s", id, took)
 		if took <= time.Second {
 			early++
 		}
@@ -55,9 +56,9 @@
 	assert.Check(t, early >= 4, "%d hosts within a second", early)
 }
 
-// The store turns both watchers away without a word: their watches hang. They
-// say so once their time is up, and others that are served take over.
-func TestTakesOverFromWatchersThatTheStoreFails(t *testing.T) {
+// The store stops responding to both watchers: their watches hang. They report it when the
+// watches time out, and other hosts that the store serves take over.
+func TestTakesOverFromWatchersWithoutTheStore(t *testing.T) {
 	all := hosts(14)
 	late := at(WatchTimeout + 300*time.Millisecond)
 	beats := map[ports.HostID]Heartbeat{
@@ -68,12 +69,12 @@
 	for _, id := range all[2:] {
 		first = min(first, firstWatch(NewDecider(id), late, View{Hosts: all, Heartbeats: beats}))
 	}
-	assert.Check(t, first >= 0 && first <= 2*stagger, "first after %s", first)
+	assert.Check(t, first >= 0 && first <= 2*turnInterval, "first after %s", first)
 }
 
-// While the store is out for all hosts they must not press on it together: calls
-// are paid for, also those that fail.
-func TestHostsTryTheStoreByTurnsWhileItIsOut(t *testing.T) {
+// While the store is down for all hosts, they must not call it all at once: failed calls are
+// billed too.
+func TestHostsTryTheStoreInTurnsDuringAnOutage(t *testing.T) {
 	for _, n := range []int{14, 121} {
 		all := hosts(n)
 		tries := 0
@@ -94,7 +95,7 @@
 	}
 }
 
-func TestOneTooManyStepsDown(t *testing.T) {
+func TestSurplusWatcherStepsDown(t *testing.T) {
 	all := hosts(14)
 	watching := 0
 	for _, id := range all[:4] {
@@ -119,9 +120,9 @@
 	assert.Equal(t, watching, WantedWatchers)
 }
 
-// Nobody of 129 hosts hears a watcher any more. Were those that come after the first few
-// to begin at the same moment, all of them would watch, and pass on each change to all.
-func TestTurnsOfManyHostsAreApart(t *testing.T) {
+// None of 129 hosts receives a heartbeat any more. If all but the first few took over at the same
+// moment, all of them would watch and relay each change to all.
+func TestTurnsOfManyHostsAreSpread(t *testing.T) {
 	all := hosts(129)
 	at := make(map[time.Duration]int)
 	last := time.Duration(0)
@@ -132,13 +133,13 @@
 		last = max(last, turn)
 	}
 	for turn, hosts := range at {
-		assert.Check(t, hosts <= 16, "%d hosts begin after %s", hosts, turn)
+		assert.Check(t, hosts <= 16, "%d hosts take over after %s", hosts, turn)
 	}
-	assert.Check(t, last <= 1600*time.Millisecond, "the last turn comes after %s", last)
+	assert.Check(t, last <= 1600*time.Millisecond, "the last turn is after %s", last)
 }
 
-// Hundreds of hosts start together, and those that are no seeds leave it to the seeds to
-// watch. Whoever takes a turn all the same makes two calls to the store.
+// Hundreds of hosts start together, and those that are no seeds leave the watching to the seeds.
+// Each host that takes a turn regardless makes two calls to the store.
 func TestDeferredHostWaits(t *testing.T) {
 	all := hosts(14)
 	for _, id := range all {
