--- a/policy/coldstart/estimate.go
+++ b/policy/coldstart/estimate.go
@@ -50,10 +50,10 @@
 type Estimate struct {
 	ColdUntil time.Time
 	Source    Source
-	// heardAt is when the target itself last reported whether it is cold; used is set once a call
-	// was sent on the strength of that report.
-	heardAt time.Time
-	used    bool
+	// reportedAt is when the target itself last reported whether it is cold; used is set once a
+	// call was sent on the strength of that report.
+	reportedAt time.Time
+	used       bool
 }
 
 // Cold reports whether the target is considered cold.
@@ -69,7 +69,7 @@
 	if !b.used {
 		ttl = reportTTL
 	}
-	return !b.Cold(now) && !b.heardAt.IsZero() && now.Sub(b.heardAt) < ttl
+	return !b.Cold(now) && !b.reportedAt.IsZero() && now.Sub(b.reportedAt) < ttl
 }
 
 // MarkUsed records that a call is sent to a target considered warm.
@@ -92,11 +92,11 @@
 // It never shortens the estimate.
 func (b *Estimate) Infer(now, until time.Time, s Source) {
 	if now.Before(until) && until.After(b.ColdUntil) {
-		*b = Estimate{ColdUntil: until, Source: s, heardAt: b.heardAt, used: b.used}
+		*b = Estimate{ColdUntil: until, Source: s, reportedAt: b.reportedAt, used: b.used}
 	}
 }
 
 // Observe records the target's own report of how much longer it is cold, 0 if it is warm.
 func (b *Estimate) Observe(now time.Time, left time.Duration) {
-	*b = Estimate{ColdUntil: now.Add(left), Source: HealthAnswer, heardAt: now}
+	*b = Estimate{ColdUntil: now.Add(left), Source: HealthAnswer, reportedAt: now}
 }
--- a/policy/coldstart/quota_test.go
+++ b/policy/coldstart/quota_test.go
@@ -52,9 +52,9 @@
 
 // zoneLoad is the load on a cold zone of targets.
 type zoneLoad struct {
-	// worst is the most calls that reached one target within a second, taken the number of calls
+	// worst is the most calls that reached one target within a second, sent the number of calls
 	// sent over three seconds, and wanted the number that hosts tried to send.
-	worst, taken, wanted int
+	worst, sent, wanted int
 }
 
 // simulate has each host of a zone offer calls to random targets at the given rate for three
@@ -78,7 +78,7 @@
 				}
 				if limiters[k].Take(now) {
 					sentAt[t] = append(sentAt[t], time.Duration(ms)*time.Millisecond)
-					p.taken++
+					p.sent++
 					break
 				}
 			}
--- a/policy/grant/choose.go
+++ b/policy/grant/choose.go
@@ -193,11 +193,11 @@
 
 // pickParams holds what a choice computes once for all targets.
 type pickParams struct {
-	time    time.Time
-	now     instant.Time
-	limit   int // attempts a healthy target may hold
-	cold    bool
-	overdue instant.Time // attempts granted before it are overdue
+	time          time.Time
+	now           instant.Time
+	limit         int // attempts a healthy target may hold
+	cold          bool
+	overdueBefore instant.Time // attempts granted before it are overdue
 }
 
 func (b *Coordinator) newPickParams(now time.Time, a *Request) pickParams {
@@ -206,7 +206,7 @@
 		in.limit += b.overcommit()
 	}
 	if d := b.overdueAfter(); d > 0 {
-		in.overdue = in.now.Add(-d)
+		in.overdueBefore = in.now.Add(-d)
 	}
 	return in
 }
@@ -231,7 +231,7 @@
 	if t.otherLoad > 0 && in.now.Add(-otherLoadTTL) < t.otherLoadAt {
 		score += t.otherLoad * attemptCost
 	}
-	if held > 0 && t.oldestGrant < in.overdue {
+	if held > 0 && t.oldestGrant < in.overdueBefore {
 		limit = b.slots
 		score += overduePenalty
 	}
--- a/policy/grant/coordinator.go
+++ b/policy/grant/coordinator.go
@@ -69,12 +69,12 @@
 
 // attempt is an attempt that holds a slot.
 type attempt struct {
-	host      *host
-	id        AttemptID
-	target    *target
-	granted   time.Time
-	since     instant.Time // same as granted
-	exclusive bool
+	host           *host
+	id             AttemptID
+	target         *target
+	granted        time.Time
+	grantedInstant instant.Time // same as granted
+	exclusive      bool
 	// confirmed is set once a full frame of the host listed the attempt. From then on, a full
 	// frame that does not list it means that it has ended.
 	confirmed bool
@@ -264,7 +264,7 @@
 		c = new(attempt)
 	}
 	*c = attempt{host: h, id: id, target: t, granted: since, exclusive: exclusive}
-	c.since = b.clock.At(since)
+	c.grantedInstant = b.clock.At(since)
 	c.queued = t.inFlight() >= b.slots
 	b.attempts[attemptKey{h.id, id}] = c
 	t.add(c)
--- a/policy/grant/coordinator_test.go
+++ b/policy/grant/coordinator_test.go
@@ -182,18 +182,18 @@
 func TestUnknownHostIsAskedForAFullFrame(t *testing.T) {
 	d := newFixture(1, 4)
 	d.Receive(d.now, "a", Frame{Epoch: 1, Seq: 7, Requests: []Request{{ID: 3}}})
-	told := d.flush("a")
-	assert.Equal(t, len(told.Grants), 1)
-	assert.Check(t, told.Resync)
+	reply := d.flush("a")
+	assert.Equal(t, len(reply.Grants), 1)
+	assert.Check(t, reply.Resync)
 }
 
 // The coordinator's target list is stale and empty while the requesting host knows some targets.
 // It must decline, so that the host chooses itself, and must not refuse.
 func TestCoordinatorWithoutTargetsDeclines(t *testing.T) {
 	d := newFixture(0, 1)
-	told := d.request("a", Request{ID: 1})
-	assert.Check(t, told.Decline)
-	assert.Equal(t, len(told.Refusals), 0)
+	reply := d.request("a", Request{ID: 1})
+	assert.Check(t, reply.Decline)
+	assert.Equal(t, len(reply.Refusals), 0)
 }
 
 // One host requests far more than its share. Its own requests wait; a request of another host is
--- a/policy/grant/stale.go
+++ b/policy/grant/stale.go
@@ -18,8 +18,8 @@
 		if !t.usable() {
 			continue
 		}
-		silent := t.inFlight() == 0 && now.Sub(t.lastEnd) > staleAfter
-		if silent || t.health.Ejected(now) {
+		idle := t.inFlight() == 0 && now.Sub(t.lastEnd) > staleAfter
+		if idle || t.health.Ejected(now) {
 			out = append(out, t.id)
 		}
 	}
--- a/policy/grant/target.go
+++ b/policy/grant/target.go
@@ -52,8 +52,8 @@
 	t.attempts = append(t.attempts, c)
 	t.exclusive = t.exclusive || c.exclusive
 	t.updateAvailable()
-	if len(t.attempts) == 1 || c.since < t.oldestGrant {
-		t.oldestGrant = c.since
+	if len(t.attempts) == 1 || c.grantedInstant < t.oldestGrant {
+		t.oldestGrant = c.grantedInstant
 	}
 }
 
@@ -68,8 +68,8 @@
 	t.oldestGrant = 0
 	for i, x := range t.attempts {
 		t.exclusive = t.exclusive || x.exclusive
-		if i == 0 || x.since < t.oldestGrant {
-			t.oldestGrant = x.since
+		if i == 0 || x.grantedInstant < t.oldestGrant {
+			t.oldestGrant = x.grantedInstant
 		}
 	}
 	t.updateAvailable()
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -29,7 +29,7 @@
 	baselineWeight = 0.02
 	// otherZoneCost is the fixed extra cost of a target in another availability zone, in mean
 	// service times. bytesPerServiceTime is the number of bytes between zones that costs as much
-	// as one mean service time.
+	// as one usual service time.
 	otherZoneCost       = 0.15
 	bytesPerServiceTime = 32 << 10
 	// crowding is the extra service time, as a fraction, at a target with all slots but one in
@@ -161,7 +161,7 @@
 	return meetsObjective && !f.WouldQueue(now)
 }
 
-// ExpectedTime returns the estimated response time of one more call, in mean service times.
+// ExpectedTime returns the estimated response time of one more call, in usual service times.
 func (f *TargetState) ExpectedTime(now time.Time) float64 {
 	age, slots := f.Age(now), float64(f.Slots)
 	calls := f.calls(age)
@@ -178,7 +178,7 @@
 func TransferCost(bytes float64) float64 { return otherZoneCost + bytes/bytesPerServiceTime }
 
 // Cost returns the estimated response time plus the cost of the transfer if the target is in
-// another availability zone, in mean service times. The target with the lowest cost is the best.
+// another availability zone, in usual service times. The target with the lowest cost is the best.
 func (f *TargetState) Cost(now time.Time, transferCost float64) float64 {
 	if f.OtherZone {
 		return f.ExpectedTime(now) + transferCost
--- a/policy/placement/silent.go
+++ b/policy/placement/silent.go
@@ -24,20 +24,20 @@
 
 // Observe adds the time that a response took, or that was spent waiting for one that did not
 // come.
-func (q *ProbeTimes) Observe(took time.Duration) {
+func (p *ProbeTimes) Observe(took time.Duration) {
 	switch {
-	case q.typical == 0:
-		q.typical = took
-	case took < q.typical:
-		q.typical -= time.Duration(typicalStep * (1 - typicalQuantile) * float64(q.typical))
+	case p.typical == 0:
+		p.typical = took
+	case took < p.typical:
+		p.typical -= time.Duration(typicalStep * (1 - typicalQuantile) * float64(p.typical))
 	default:
-		q.typical += time.Duration(typicalStep * typicalQuantile * float64(q.typical))
+		p.typical += time.Duration(typicalStep * typicalQuantile * float64(p.typical))
 	}
-	q.typical = max(q.typical, minTypical)
+	p.typical = max(p.typical, minTypical)
 }
 
 // Typical returns the typical time, 0 before the first response.
-func (q *ProbeTimes) Typical() time.Duration { return q.typical }
+func (p *ProbeTimes) Typical() time.Duration { return p.typical }
 
 // ObserveProbe records that a target that reports no load responded to a probe, and returns the
 // load inferred from that.
--- a/policy/quota/part_test.go
+++ b/policy/quota/part_test.go
@@ -118,8 +118,8 @@
 func TestArrivalsDetectRetries(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var a Arrivals
-	late := func(left time.Duration) bool {
-		return a.Late(Request{Objective: 600 * time.Millisecond, Remaining: left})
+	late := func(remaining time.Duration) bool {
+		return a.Late(Request{Objective: 600 * time.Millisecond, Remaining: remaining})
 	}
 	for range 100 {
 		late(5*time.Second - time.Duration(rng.IntN(100))*time.Millisecond)
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -20,7 +20,7 @@
 	assert.Check(t, taken >= 999 && taken <= 1001, "%d retries of 10000 calls", taken)
 }
 
-func TestAQuietWorkspaceMayRetryOnceInAWhile(t *testing.T) {
+func TestIdleWorkspaceMayRetryOccasionally(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewBudget(0.1, now)
 	assert.Check(t, b.Take(now))
--- a/policy/retry/window_test.go
+++ b/policy/retry/window_test.go
@@ -45,7 +45,7 @@
 	return n
 }
 
-func TestQuietServiceHasItsReserve(t *testing.T) {
+func TestIdleServiceHasItsReserve(t *testing.T) {
 	w := NewWindow(WindowLimits{Ratio: 0.2, Reserve: 2, Span: time.Second})
 	now := time.Unix(1000, 0)
 	assert.Check(t, w.Take(now))
