--- a/internal/bench/choose/coordinated.go
+++ b/internal/bench/choose/coordinated.go
@@ -105,7 +105,7 @@
 	h.do(func(now time.Time) {
 		id := h.session.NextID()
 		h.calls[id] = c
-		h.session.Request(now, pick.Request{Service: benchService, Avoid: avoid}, epoch.Add(c.deadline))
+		h.session.Submit(now, pick.Request{Service: benchService, Avoid: avoid}, epoch.Add(c.deadline))
 	})
 }
 
--- a/policy/session/session.go
+++ b/policy/session/session.go
@@ -143,9 +143,9 @@
 // NextID returns the ID that the next request will have.
 func (s *Session) NextID() grant.AttemptID { return s.nextID + 1 }
 
-// Request submits a request for a target. TakeOutput returns the decision, now or later; a zero
+// Submit submits a request for a target. TakeOutput returns the decision, now or later; a zero
 // deadline means none.
-func (s *Session) Request(now time.Time, req pick.Request, deadline time.Time) grant.AttemptID {
+func (s *Session) Submit(now time.Time, req pick.Request, deadline time.Time) grant.AttemptID {
 	s.nextID++
 	id := s.nextID
 	a := pending{id: id, req: req, since: now, deadline: deadline, avoid: req.Avoid}
--- a/policy/session/session_test.go
+++ b/policy/session/session_test.go
@@ -28,7 +28,7 @@
 }
 
 func (s *Session) request(now time.Time) grant.AttemptID {
-	return s.Request(now, pick.Request{}, time.Time{})
+	return s.Submit(now, pick.Request{}, time.Time{})
 }
 
 func TestHostRequestsOnceAndWaits(t *testing.T) {
@@ -94,7 +94,7 @@
 	s.request(noon)
 	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Decline: true})
 	assert.Check(t, s.TakeOutput().Decisions[0].Local)
-	s.Request(noon, pick.Request{}, noon.Add(-time.Second))
+	s.Submit(noon, pick.Request{}, noon.Add(-time.Second))
 	assert.Equal(t, s.TakeOutput().Decisions[0].Reason, outcome.ReasonDeadline)
 	for range 3 { // one takes the last slot, two wait
 		s.request(noon)
--- a/policy/suspicion/record.go
+++ b/policy/suspicion/record.go
@@ -24,7 +24,7 @@
 // LossRecord is a Loss as sent between hosts.
 type LossRecord struct {
 	Target ports.RunID   `msgpack:"t"`
-	Age    time.Duration `msgpack:"a"`
+	SinceLoss    time.Duration `msgpack:"a"`
 	Trial  bool          `msgpack:"r"`
 }
 
@@ -36,7 +36,7 @@
 	e := b.entries[d]
 	r := Record{Digest: d, State: e.state, Age: now.Sub(e.since), SinceSent: now.Sub(e.sent), KnownGood: e.knownGood}
 	for _, l := range e.losses {
-		r.Losses = append(r.Losses, LossRecord{Target: l.Target, Age: now.Sub(l.At), Trial: l.Trial})
+		r.Losses = append(r.Losses, LossRecord{Target: l.Target, SinceLoss: now.Sub(l.At), Trial: l.Trial})
 	}
 	return r, true
 }
@@ -78,9 +78,9 @@
 
 // newest returns the age of the newest loss.
 func (r Record) newest() time.Duration {
-	age := r.Losses[0].Age
+	age := r.Losses[0].SinceLoss
 	for _, l := range r.Losses {
-		age = min(age, l.Age)
+		age = min(age, l.SinceLoss)
 	}
 	return max(0, age)
 }
@@ -91,7 +91,7 @@
 func (b *Tracker) mergeLosses(now time.Time, e *entry, records []LossRecord) bool {
 	fresh := false
 	for _, t := range records {
-		l := Loss{Target: t.Target, At: now.Add(-max(0, t.Age)), Trial: t.Trial}
+		l := Loss{Target: t.Target, At: now.Add(-max(0, t.SinceLoss)), Trial: t.Trial}
 		recent := now.Sub(l.At) < b.limits.LossWindow
 		if recent {
 			b.recordLoss(now, l)
--- a/policy/suspicion/suspicion_test.go
+++ b/policy/suspicion/suspicion_test.go
@@ -45,7 +45,7 @@
 	assert.Check(t, ok)
 	assert.Check(t, b.Clear(at(time.Millisecond), 1))
 	assert.Equal(t, b.Admit(at(time.Second), 1, "h1/1"), Unrestricted)
-	r.Losses[0].Age = time.Second
+	r.Losses[0].SinceLoss = time.Second
 	assert.Check(t, b.Merge(at(time.Second), r, false), "an old record of a cleared request was merged")
 	assert.Equal(t, b.State(at(time.Second), 1), Clean)
 }
--- a/quarantine/reach.go
+++ b/quarantine/reach.go
@@ -73,7 +73,7 @@
 func (q *Quarantine) lostWith(records []suspicion.Record) {
 	for _, r := range records {
 		for _, l := range r.Losses {
-			if l.Age < syncEvery {
+			if l.SinceLoss < syncEvery {
 				q.reach.down(l.Target)
 			}
 		}
--- a/slots/service.go
+++ b/slots/service.go
@@ -199,7 +199,7 @@
 	v.do(func(now time.Time) {
 		w.id = v.session.NextID()
 		v.waiters[w.id] = w
-		v.session.Request(now, req, deadline)
+		v.session.Submit(now, req, deadline)
 	})
 	return w
 }
