--- a/policy/grant/choose.go
+++ b/policy/grant/choose.go
@@ -127,7 +127,7 @@
 	if t == nil {
 		return false
 	}
-	b.add(h, w.request.ID, t, now, w.request.Exclusive)
+	b.addAttempt(h, w.request.ID, t, now, w.request.Exclusive)
 	t.lastGrant = now
 	h.grants = append(h.grants, Grant{ID: w.request.ID, Target: t.id})
 	return true
@@ -284,11 +284,11 @@
 	if b.latencies.Count() < minSamples || mean <= 0 {
 		return 1
 	}
-	turnaround := 2*b.turnaround + targetRTT
+	delay := 2*b.turnaround + targetRTT
 	if b.queued > max(b.capacity/4, 1) {
-		turnaround += mean
+		delay += mean
 	}
-	n := int((time.Duration(b.slots)*turnaround + mean - 1) / mean)
+	n := int((time.Duration(b.slots)*delay + mean - 1) / mean)
 	return min(max(n, 1), 2*b.slots)
 }
 
--- a/policy/grant/coordinator.go
+++ b/policy/grant/coordinator.go
@@ -254,8 +254,8 @@
 	b.freeAttempts = append(b.freeAttempts, c)
 }
 
-// add records an attempt in flight.
-func (b *Coordinator) add(h *host, id AttemptID, t *target, since time.Time, exclusive bool) *attempt {
+// addAttempt records an attempt in flight.
+func (b *Coordinator) addAttempt(h *host, id AttemptID, t *target, since time.Time, exclusive bool) *attempt {
 	var c *attempt
 	if n := len(b.freeAttempts); n > 0 {
 		c = b.freeAttempts[n-1]
--- a/policy/grant/coordinator_test.go
+++ b/policy/grant/coordinator_test.go
@@ -95,16 +95,16 @@
 	for id := AttemptID(3); id < 12; id++ {
 		d.request("a", Request{ID: id})
 	}
-	reserved := d.reserved
-	assert.Equal(t, reserved.inFlight(), 1)
-	d.finish("a", reserved.attempts[0].id, pick.OK)
-	assert.Equal(t, d.replies["b"].Grants[0].Target, reserved.id)
+	target := d.reserved
+	assert.Equal(t, target.inFlight(), 1)
+	d.finish("a", target.attempts[0].id, pick.OK)
+	assert.Equal(t, d.replies["b"].Grants[0].Target, target.id)
 	for id := AttemptID(20); id < 30; id++ {
 		for _, g := range d.request("a", Request{ID: id}).Grants {
-			assert.Check(t, g.Target != reserved.id)
+			assert.Check(t, g.Target != target.id)
 		}
 	}
-	assert.Equal(t, reserved.inFlight(), 1)
+	assert.Equal(t, target.inFlight(), 1)
 }
 
 func TestHedgeIsRefusedWithoutAFreeSlot(t *testing.T) {
@@ -267,7 +267,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		t := d.pickTarget(d.now, h, a)
-		d.release(d.now, d.add(h, a.ID, t, d.now, false))
+		d.release(d.now, d.addAttempt(h, a.ID, t, d.now, false))
 	}
 }
 
@@ -277,7 +277,7 @@
 	h := d.byHost["warm"]
 	a := &Request{ID: 5000}
 	assert.Equal(t, testing.AllocsPerRun(100, func() {
-		d.release(d.now, d.add(h, a.ID, d.pickTarget(d.now, h, a), d.now, false))
+		d.release(d.now, d.addAttempt(h, a.ID, d.pickTarget(d.now, h, a), d.now, false))
 	}), 0.0)
 }
 
--- a/policy/grant/full.go
+++ b/policy/grant/full.go
@@ -32,7 +32,7 @@
 	if t == nil {
 		return
 	}
-	b.add(h, o.ID, t, now.Add(-o.Age), o.Exclusive).confirmed = true
+	b.addAttempt(h, o.ID, t, now.Add(-o.Age), o.Exclusive).confirmed = true
 }
 
 // reconcile drops the attempts and requests that a full frame does not list. Without it, a lost
--- a/policy/grant/target.go
+++ b/policy/grant/target.go
@@ -143,11 +143,11 @@
 // grant are in transit. The completion says how long the attempt took at the entry host; the rest
 // of the time since the grant was spent in transit.
 func (b *Coordinator) updateTurnaround(now time.Time, c *attempt, e Completion) {
-	sample := now.Sub(c.granted) - e.Latency
-	if sample < 0 || sample > maxTurnaround {
+	turnaround := now.Sub(c.granted) - e.Latency
+	if turnaround < 0 || turnaround > maxTurnaround {
 		return
 	}
-	b.turnaround += (sample - b.turnaround) / 64
+	b.turnaround += (turnaround - b.turnaround) / 64
 }
 
 func (b *Coordinator) recordResult(now time.Time, t *target, failed bool) {
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -179,9 +179,9 @@
 
 // Cost returns the estimated response time plus the cost of the transfer if the target is in
 // another availability zone, in usual service times. The target with the lowest cost is the best.
-func (f *TargetState) Cost(now time.Time, transferCost float64) float64 {
+func (f *TargetState) Cost(now time.Time, transfer float64) float64 {
 	if f.OtherZone {
-		return f.ExpectedTime(now) + transferCost
+		return f.ExpectedTime(now) + transfer
 	}
 	return f.ExpectedTime(now)
 }
--- a/policy/suspicion/record.go
+++ b/policy/suspicion/record.go
@@ -21,11 +21,11 @@
 	KnownGood bool `msgpack:"g"`
 }
 
-// LossRecord is a Loss as sent between hosts.
+// LossRecord is a Loss as sent between hosts; SinceLoss is the time since it.
 type LossRecord struct {
-	Target ports.RunID   `msgpack:"t"`
-	SinceLoss    time.Duration `msgpack:"a"`
-	Trial  bool          `msgpack:"r"`
+	Target    ports.RunID   `msgpack:"t"`
+	SinceLoss time.Duration `msgpack:"a"`
+	Trial     bool          `msgpack:"r"`
 }
 
 // Record returns the state of a request, and false if it is clean.
@@ -34,7 +34,7 @@
 		return Record{}, false
 	}
 	e := b.entries[d]
-	r := Record{Digest: d, State: e.state, Age: now.Sub(e.since), SinceSent: now.Sub(e.sent), KnownGood: e.knownGood}
+	r := Record{Digest: d, State: e.state, Age: now.Sub(e.since), SinceSent: now.Sub(e.sent), KnownGood: e.answered}
 	for _, l := range e.losses {
 		r.Losses = append(r.Losses, LossRecord{Target: l.Target, SinceLoss: now.Sub(l.At), Trial: l.Trial})
 	}
@@ -60,7 +60,7 @@
 		return true
 	}
 	e := b.ensure(r.Digest, now)
-	e.knownGood = e.knownGood || r.KnownGood || knownGood
+	e.answered = e.answered || r.KnownGood || knownGood
 	if at := now.Add(-r.SinceSent); e.sent.Before(at) {
 		e.sent = at
 	}
--- a/policy/suspicion/suspicion.go
+++ b/policy/suspicion/suspicion.go
@@ -111,8 +111,8 @@
 	since time.Time
 	sent  time.Time
 	trial trial
-	// knownGood is set if some host remembers a complete response to this request.
-	knownGood bool
+	// answered is set if some host remembers a complete response to this request.
+	answered bool
 	// settled is set once a quarantine is confirmed.
 	settled bool
 	// excusedAt is when a quarantine was last dropped. Earlier losses of other targets do not
@@ -144,7 +144,7 @@
 	if e.trialed() {
 		return len(e.losses) >= defaultMinLosses
 	}
-	return len(e.losses) >= b.minLosses && !e.knownGood
+	return len(e.losses) >= b.minLosses && !e.answered
 }
 
 // add records a loss and reports whether it is new evidence.
--- a/policy/suspicion/tracker.go
+++ b/policy/suspicion/tracker.go
@@ -114,7 +114,7 @@
 	b.recordLoss(now, r.Loss)
 	e := b.ensure(r.Digest, now)
 	e.sent = now
-	e.knownGood = e.knownGood || r.KnownGood
+	e.answered = e.answered || r.KnownGood
 	if e.add(r.Loss, b.limits.LossWindow) && b.blamed(e) {
 		b.accuse(r.Digest, e, now)
 	}
@@ -160,11 +160,11 @@
 		return absDiff(l.At, e.since) < b.limits.LossWindow && l.At.After(e.excusedAt)
 	}
 	n := 0
-	if e.knownGood {
+	if e.answered {
 		n = e.untrialed(counts)
 	}
 	for id, l := range b.losses {
-		if counts(l) && !e.lostWith(id) && (e.knownGood || !b.explained(id)) {
+		if counts(l) && !e.lostWith(id) && (e.answered || !b.explained(id)) {
 			n++
 		}
 	}
@@ -188,7 +188,7 @@
 
 func (b *Tracker) explained(id ports.RunID) bool {
 	for _, e := range b.entries {
-		if e.state == Quarantined && !e.knownGood && e.lostWith(id) {
+		if e.state == Quarantined && !e.answered && e.lostWith(id) {
 			return true
 		}
 	}
