--- a/backpressure/backpressure.go
+++ b/backpressure/backpressure.go
@@ -204,10 +204,10 @@
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	a := p.quotas.Ask(ctx, policy.Request{
-		Name: string(t.Run()),
-		Zone: countingZone(t.Zone, p.deps.Board.Members.Load()),
-		Left: -1,
-		Word: p.limits.Word(string(t.Run())),
+		Name:      string(t.Run()),
+		Zone:      countingZone(t.Zone, p.deps.Board.Members.Load()),
+		Remaining: -1,
+		Observed:  p.limits.Word(string(t.Run())),
 	})
 	limit, _ := p.limits.Limit(string(t.Run()))
 	switch {
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -90,7 +90,7 @@
 }
 
 // Hear records what another host knows of a target's limit.
-func (l *limits) Hear(run string, w quota.Word) {
+func (l *limits) Hear(run string, w quota.ObservedLimit) {
 	limit := targetapi.Limit{Named: w.Rate > 0, PerSecond: w.Rate}
 	before, recorded := l.record(ports.RunID(run), limitReport{limit: limit, at: time.Now().Add(-w.Age)})
 	if recorded && before.limit != limit {
@@ -114,14 +114,14 @@
 }
 
 // Word returns what this host knows of a target's limit, to be sent to other hosts.
-func (l *limits) Word(run string) quota.Word {
+func (l *limits) Word(run string) quota.ObservedLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w, known := l.reports[ports.RunID(run)]
 	if !known {
-		return quota.Word{}
+		return quota.ObservedLimit{}
 	}
-	return quota.Word{Known: true, Rate: w.rate(), Age: time.Since(w.at)}
+	return quota.ObservedLimit{Known: true, Rate: w.rate(), Age: time.Since(w.at)}
 }
 
 // any reports whether a target of a service set a limit in a response to this host.
--- a/controller/watch/bootstrap.go
+++ b/controller/watch/bootstrap.go
@@ -59,7 +59,7 @@
 		c.readHosts(ctx)
 	}
 	c.mu.Lock()
-	c.decider.Defer(time.Now().Add(seedHeadStart))
+	c.decider.DeferUntil(time.Now().Add(seedHeadStart))
 	c.mu.Unlock()
 }
 
--- a/controller/watch/confirm.go
+++ b/controller/watch/confirm.go
@@ -85,7 +85,7 @@
 	now := time.Now()
 	c.mu.Lock()
 	reply := c.configFreshness(now)
-	ids := watchers.Fresh(now, c.heartbeats)
+	ids := watchers.FreshWatchers(now, c.heartbeats)
 	c.mu.Unlock()
 	if c.applyConfirmation(now, reply) {
 		return
@@ -124,7 +124,7 @@
 		return false
 	}
 	c.noteConfirmed(at.Add(-r.Age))
-	return instant.Elapsed(at.Add(-r.Age), time.Now()) <= denial.Young
+	return instant.Elapsed(at.Add(-r.Age), time.Now()) <= denial.FreshAge
 }
 
 // onConfirm replies with how recently this host's configuration was confirmed.
--- a/controller/watch/denial_test.go
+++ b/controller/watch/denial_test.go
@@ -168,7 +168,7 @@
 		c := fl.nonWatcher().c
 		now := time.Now()
 		assert.Check(t, !c.applyConfirmation(now, confirmReply{Version: 1, Known: true, Age: denial.MaxAge - time.Millisecond}))
-		assert.Check(t, !c.applyConfirmation(now.Add(-100*time.Millisecond), confirmReply{Version: 1, Known: true, Age: denial.Young - 50*time.Millisecond}))
+		assert.Check(t, !c.applyConfirmation(now.Add(-100*time.Millisecond), confirmReply{Version: 1, Known: true, Age: denial.FreshAge - 50*time.Millisecond}))
 		assert.Check(t, c.applyConfirmation(now, confirmReply{Version: 1, Known: true, Age: time.Second}))
 	})
 }
--- a/controller/watch/evacuation.go
+++ b/controller/watch/evacuation.go
@@ -53,7 +53,7 @@
 // an operator who wonders why a zone receives nothing sees how old the information is. c.mu must
 // be held.
 func (c *Controller) logStaleEvacuations(now time.Time) {
-	if c.watch != nil && c.watch.storeOK() || len(watchers.Fresh(now, c.heartbeats)) > 0 {
+	if c.watch != nil && c.watch.storeOK() || len(watchers.FreshWatchers(now, c.heartbeats)) > 0 {
 		c.watcherSeenAt = now
 		return
 	}
--- a/controller/watch/forward.go
+++ b/controller/watch/forward.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, ids := range zones {
-		c.sendToRelay(watchers.Relays(c.rng, ids), relayed{Changes: body, Zone: true})
+		c.sendToRelay(watchers.RelayOrder(c.rng, ids), relayed{Changes: body, Zone: true})
 	}
 	c.fanOut(body, c.zonePeers())
 }
@@ -78,7 +78,7 @@
 // be held.
 func (c *Controller) fanOut(body []byte, ids []ports.HostID) {
 	c.rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	groups := watchers.Spread(ids, len(body))
+	groups := watchers.RelayGroups(ids, len(body))
 	if groups == nil {
 		for _, id := range ids {
 			c.send(id, kindChanges, body)
@@ -133,7 +133,7 @@
 	if r.Zone {
 		ids = c.zonePeers()
 	}
-	if applied.Empty() && watchers.Spread(ids, len(r.Changes)) != nil {
+	if applied.Empty() && watchers.RelayGroups(ids, len(r.Changes)) != nil {
 		c.count.duplicateRelays.Add(1)
 		return struct{}{}, nil
 	}
--- a/controller/watch/heartbeat.go
+++ b/controller/watch/heartbeat.go
@@ -12,7 +12,7 @@
 	if w.lastOK[0].Load() == 0 && w.lastOK[1].Load() == 0 {
 		return // an attempt to take over, with no answer from the store yet
 	}
-	if now.Sub(w.heartbeatAt) >= watchers.BeatEvery-time.Millisecond {
+	if now.Sub(w.heartbeatAt) >= watchers.HeartbeatInterval-time.Millisecond {
 		c.heartbeatNow(now)
 	}
 }
--- a/controller/watch/hosts.go
+++ b/controller/watch/hosts.go
@@ -96,11 +96,11 @@
 func (c *Controller) removeUnreachable(now time.Time) {
 	w := c.watch
 	// Reachability only covers hosts to which messages were sent all along.
-	if c.deps.Reach == nil || now.Sub(w.started) < watchers.LeftOutAfter || now.Sub(w.sweptAt) < sweepEvery {
+	if c.deps.Reach == nil || now.Sub(w.started) < watchers.RemoveAfter || now.Sub(w.sweptAt) < sweepEvery {
 		return
 	}
 	w.sweptAt = now
-	for _, id := range watchers.LeftOut(c.self, c.hostIDs(), c.deps.Reach.UnreachableFor) {
+	for _, id := range watchers.HostsToRemove(c.self, c.hostIDs(), c.deps.Reach.UnreachableFor) {
 		c.removeHost(now, c.hosts[id], c.self)
 	}
 	for id, g := range c.removed {
@@ -266,7 +266,7 @@
 	if digest == c.announcedDigest || now.Before(c.nextAnnounce) || !c.watch.storeOK() {
 		return
 	}
-	if !watchers.First(c.self, watchers.Fresh(now, c.heartbeats)) {
+	if !watchers.IsFirst(c.self, watchers.FreshWatchers(now, c.heartbeats)) {
 		return
 	}
 	c.nextAnnounce = now.Add(announceEvery)
--- a/controller/watch/peers.go
+++ b/controller/watch/peers.go
@@ -31,7 +31,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	previous, known := c.heartbeats[from]
-	c.heartbeats[from] = watchers.Beat{Heard: now, StoreOK: b.StoreOK, StoreAge: b.StoreAge, StoreWait: b.StoreWait}
+	c.heartbeats[from] = watchers.Heartbeat{ReceivedAt: now, StoreOK: b.StoreOK, StoreAge: b.StoreAge, StoreWait: b.StoreWait}
 	c.noteHost(b.Host)
 	c.noteVersion(b.Version)
 	if b.StoreOK {
@@ -175,7 +175,7 @@
 	defer c.mu.Unlock()
 	c.noteHost(req.Host)
 	c.noteVersion(req.Version)
-	fresh := len(watchers.Fresh(now, c.heartbeats)) > 0 || c.watch != nil && c.watch.storeOK()
+	fresh := len(watchers.FreshWatchers(now, c.heartbeats)) > 0 || c.watch != nil && c.watch.storeOK()
 	if !fresh || !c.state.HasTargets() || c.state.Config() == nil {
 		// Leave out the list of hosts: when all hosts start together, each asks the seeds every
 		// 20 ms.
--- a/controller/watch/store.go
+++ b/controller/watch/store.go
@@ -176,7 +176,7 @@
 func (c *Controller) rank() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return watchers.Rank(c.self, watchers.Fresh(time.Now(), c.heartbeats))
+	return watchers.Rank(c.self, watchers.FreshWatchers(time.Now(), c.heartbeats))
 }
 
 // fetch makes one call to the store: a full read of the topic, or a watch that continues where
@@ -186,9 +186,9 @@
 	if after == 0 {
 		return c.deps.Source.Read(ctx, t, timeout)
 	}
-	wait := watchers.Wait
+	wait := watchers.WatchTimeout
 	if c.rank() > 0 {
-		wait = watchers.SecondWait
+		wait = watchers.SecondaryWatchTimeout
 	}
 	if left, scheduled := c.rereadIn(w, t); scheduled {
 		if left <= 0 {
@@ -236,7 +236,7 @@
 	if w.lastOK[t].Load() == 0 {
 		now := time.Now()
 		c.reportRefused(now)
-		c.decider.Failed(now, c.view())
+		c.decider.RecordFailure(now, c.view())
 		c.endWatching("store does not serve this host")
 		c.wakeUp()
 		return
@@ -336,7 +336,7 @@
 	c.storeFailing = false
 	hold := c.outageHold(now)
 	for _, b := range c.heartbeats {
-		if !b.StoreOK && now.Sub(b.Heard) < suspectFor {
+		if !b.StoreOK && now.Sub(b.ReceivedAt) < suspectFor {
 			hold = max(hold, suspectHold)
 		}
 	}
--- a/controller/watch/watch.go
+++ b/controller/watch/watch.go
@@ -83,7 +83,7 @@
 	// hostsComplete is set once the list of hosts has matched that of a watcher.
 	hostsComplete bool
 
-	heartbeats map[ports.HostID]watchers.Beat
+	heartbeats map[ports.HostID]watchers.Heartbeat
 	decider    *watchers.Decider
 	// refusedAt is when each host last reported that the store did not serve its attempt to
 	// watch.
@@ -136,7 +136,7 @@
 		state:      directory.NewState(),
 		hosts:      map[ports.HostID]directory.Host{d.Self.ID(): d.Self},
 		removed:    make(map[ports.HostID]removedHost),
-		heartbeats: make(map[ports.HostID]watchers.Beat),
+		heartbeats: make(map[ports.HostID]watchers.Heartbeat),
 		decider:    watchers.NewDecider(d.Self.ID()),
 		refusedAt:  make(map[ports.HostID]time.Time),
 		serving:    make(chan struct{}),
@@ -210,7 +210,7 @@
 	switch {
 	case wanted && c.watch == nil:
 		c.startWatching(ctx)
-		next = now.Add(watchers.BeatEvery)
+		next = now.Add(watchers.HeartbeatInterval)
 	case !wanted && c.watch != nil:
 		c.endWatching("enough other hosts watch")
 	}
@@ -238,11 +238,11 @@
 func (c *Controller) Watched() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(watchers.Fresh(time.Now(), c.heartbeats)) > 0 || c.watch != nil && c.watch.storeOK()
+	return len(watchers.FreshWatchers(time.Now(), c.heartbeats)) > 0 || c.watch != nil && c.watch.storeOK()
 }
 
 func (c *Controller) view() watchers.View {
-	v := watchers.View{Beats: c.heartbeats, Watching: c.watch != nil, Refused: c.refusedAt}
+	v := watchers.View{Heartbeats: c.heartbeats, Watching: c.watch != nil, FailedTakeovers: c.refusedAt}
 	for id := range c.hosts {
 		v.Hosts = append(v.Hosts, id)
 	}
--- a/dispatch/call.go
+++ b/dispatch/call.go
@@ -67,7 +67,7 @@
 	// Regions restricts the targets to these regions; empty allows all.
 	Regions []string
 	// ResponseSizes, if set, records the sizes of the responses to such calls.
-	ResponseSizes *sizes.Usual
+	ResponseSizes *sizes.Estimator
 	// RequestDigest identifies the request to the quarantine; 0 if it was not computed.
 	RequestDigest uint64
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -182,7 +182,7 @@
 // retried.
 func (d *Dispatcher) replyOrRetry(ctx context.Context, c *Call, h *history, a *attempt) *Reply {
 	if a.succeeded() && c.ResponseSizes != nil {
-		c.ResponseSizes.Learn(a.resp.ContentLength)
+		c.ResponseSizes.Observe(a.resp.ContentLength)
 	}
 	if a.succeeded() || a.hasResponse() && !a.failureBufferable() {
 		return h.reply(a.streamReply())
--- a/dispatch/workspace.go
+++ b/dispatch/workspace.go
@@ -31,8 +31,8 @@
 	defer w.mu.Unlock()
 	w.retries.SetRatio(decl.RetryRatio)
 	w.hedges.SetRatio(decl.HedgeRatio)
-	w.retries.Call()
-	w.hedges.Call()
+	w.retries.RecordCall()
+	w.hedges.RecordCall()
 }
 
 // takeRetry reports whether the budget allows a retry, and deducts it if so.
--- a/edge/retries.go
+++ b/edge/retries.go
@@ -35,7 +35,7 @@
 func (r *retryBudget) Call(key blackboard.ServiceKey, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.window(key).Call(now)
+	r.window(key).RecordCall(now)
 }
 
 // Take implements dispatch.RetryBudget.
@@ -57,7 +57,7 @@
 	defer r.mu.Unlock()
 	w := r.window(key)
 	w.SetReserve(r.reserveShare(now))
-	return w.TakePart(now, hedgeBudgetRatio)
+	return w.TakeWithin(now, hedgeBudgetRatio)
 }
 
 // initialReserveRatio is the fraction of its share of the reserve that a host starts with.
--- a/entry/call.go
+++ b/entry/call.go
@@ -98,7 +98,7 @@
 		return outcome.Result{}
 	}
 	left := time.Duration(intHeader(r, s.deps.Contract.Timeout, -1)) * time.Millisecond
-	return s.deps.Quota.Take(ctx, quota.Request{Name: m.Tenant, Route: m.Route, Objective: m.Objective, Left: left})
+	return s.deps.Quota.Take(ctx, quota.Request{Name: m.Tenant, Route: m.Route, Objective: m.Objective, Remaining: left})
 }
 
 // returnQuota returns what a request took from its tenant's quota if the request did not run.
--- a/entry/request.go
+++ b/entry/request.go
@@ -96,7 +96,7 @@
 	if ms < 0 || m.WaitEstimator == nil {
 		return 0
 	}
-	return m.WaitEstimator.Waited(time.Duration(ms) * time.Millisecond)
+	return m.WaitEstimator.Estimate(time.Duration(ms) * time.Millisecond)
 }
 
 func intHeader(r *http.Request, name string, fallback int) int {
--- a/entry/router.go
+++ b/entry/router.go
@@ -14,7 +14,7 @@
 	"github.com/cactusproxy/cactusproxy/declare"
 	"github.com/cactusproxy/cactusproxy/dispatch"
 	"github.com/cactusproxy/cactusproxy/policy/sizes"
-	"github.com/cactusproxy/cactusproxy/policy/waited"
+	"github.com/cactusproxy/cactusproxy/policy/waittime"
 )
 
 // router maps a request to a workspace and service. It is built once per configuration and is then
@@ -53,9 +53,9 @@
 	// Regions restricts the targets to these regions; empty allows all.
 	Regions []string
 	// WaitEstimator, if set, estimates how long callers of the route have been waiting.
-	WaitEstimator *waited.Patience
+	WaitEstimator *waittime.Estimator
 	// ResponseSizes, if set, records the sizes of the route's responses.
-	ResponseSizes *sizes.Usual
+	ResponseSizes *sizes.Estimator
 	// ConfigVersion is the version of the configuration that was used.
 	ConfigVersion uint64
 }
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -13,7 +13,7 @@
 	"github.com/cactusproxy/cactusproxy/policy/denial"
 	"github.com/cactusproxy/cactusproxy/policy/instant"
 	"github.com/cactusproxy/cactusproxy/policy/sizes"
-	"github.com/cactusproxy/cactusproxy/policy/waited"
+	"github.com/cactusproxy/cactusproxy/policy/waittime"
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
@@ -37,8 +37,8 @@
 
 // routeStats holds what has been observed of the requests of one route.
 type routeStats struct {
-	patience waited.Patience
-	sizes    sizes.Usual
+	patience waittime.Estimator
+	sizes    sizes.Estimator
 }
 
 var _ Finder = (*RouteFinder)(nil)
@@ -167,7 +167,7 @@
 // if the answer is known, which includes that a newer version has been heard of.
 func (f *RouteFinder) confirm(ctx context.Context, version uint64) bool {
 	k := f.knowledge(version)
-	if k.Allowed() || k.Behind() {
+	if k.MayDeny() || k.Behind() {
 		return false
 	}
 	f.confirmer.Confirm(ctx)
@@ -179,7 +179,7 @@
 func (f *RouteFinder) denialResult(version uint64, reason outcome.Reason) outcome.Result {
 	k := f.knowledge(version)
 	r := outcome.Refuse(reason)
-	if !k.Allowed() {
+	if !k.MayDeny() {
 		r = outcome.Refuse(outcome.ReasonConfigUnconfirmed)
 	}
 	r.Why = k.String()
@@ -187,9 +187,9 @@
 }
 
 // knowledge returns what is known about whether a version is the newest.
-func (f *RouteFinder) knowledge(version uint64) denial.Knowledge {
+func (f *RouteFinder) knowledge(version uint64) denial.ConfigState {
 	c := f.board.Confirmation.Load()
-	k := denial.Knowledge{Version: version, Newest: max(version, c.Newest), Age: denial.Never}
+	k := denial.ConfigState{Version: version, Newest: max(version, c.Newest), Age: denial.Never}
 	if !c.At.IsZero() {
 		k.Age = max(0, instant.Elapsed(c.At, time.Now()))
 	}
--- a/placer/candidates.go
+++ b/placer/candidates.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/cactusproxy/cactusproxy/pick"
-	"github.com/cactusproxy/cactusproxy/policy/placing"
+	"github.com/cactusproxy/cactusproxy/policy/placement"
 )
 
 // ranked is a target with its estimated cost before probing.
@@ -24,7 +24,7 @@
 // The cheapest few are selected in one pass by insertion: sorting the whole list takes three
 // times as long (BenchmarkPickOf100Targets).
 type candidates struct {
-	list      [2 * placing.ProbeWidth]ranked
+	list      [2 * placement.MaxProbes]ranked
 	near, far int
 	// coldOverQuota is the number of targets that were skipped because they are cold and this
 	// host's quota of calls to them is used up.
@@ -37,8 +37,8 @@
 
 // add inserts a target if it is among the cheapest width targets of its zone group.
 func (c *candidates) add(r ranked, width int) {
-	if r.figures.Far {
-		c.far = insert(c.list[placing.ProbeWidth:placing.ProbeWidth+width], c.far, r)
+	if r.figures.OtherZone {
+		c.far = insert(c.list[placement.MaxProbes:placement.MaxProbes+width], c.far, r)
 		return
 	}
 	c.near = insert(c.list[:width], c.near, r)
@@ -46,7 +46,7 @@
 
 // compact moves the targets of other zones directly behind those of the own zone.
 func (c *candidates) compact() {
-	copy(c.list[c.near:], c.list[placing.ProbeWidth:placing.ProbeWidth+c.far])
+	copy(c.list[c.near:], c.list[placement.MaxProbes:placement.MaxProbes+c.far])
 }
 
 // insert inserts r into the n cheapest targets at the start of best, which is sorted by cost.
@@ -73,7 +73,7 @@
 // candidates returns the targets that may take a call. probesExhausted is set while the host
 // can hardly probe. The caller holds the lock.
 func (s *service) candidates(now time.Time, req pick.Request, width int, probesExhausted bool) (c candidates) {
-	zoneCost := placing.Way(req.Bytes)
+	zoneCost := placement.TransferCost(req.Bytes)
 	for _, t := range s.list {
 		if !t.available(now) || slices.Contains(req.Avoid, t.info.ID) || !s.regions.Allow(t.info.Zone, req.Regions) {
 			continue
@@ -83,12 +83,12 @@
 		}
 		// A target that is only presumed cold is still probed while probes are available: its
 		// answer may show that it is warm.
-		if (probesExhausted || t.cold.Certain() && t.cold.Cold(now)) && s.overColdQuota(now, t) {
+		if (probesExhausted || t.cold.Confirmed() && t.cold.Cold(now)) && s.overColdQuota(now, t) {
 			c.coldOverQuota++
 			continue
 		}
 		t.figures.Cold = t.cold.Cold(now)
-		t.figures.Usual = *s.zoneAverages(t)
+		t.figures.Baseline = *s.zoneAverages(t)
 		c.add(ranked{t, t.figures.Cost(now, zoneCost) + s.rng.Float64()*maxTieBreak}, width)
 	}
 	c.compact()
--- a/placer/cold.go
+++ b/placer/cold.go
@@ -44,10 +44,10 @@
 // has changed.
 func (t *target) presumeCold(now time.Time, prev, cur blackboard.Target, l coldLimits) {
 	if !cur.WarmUntil.Equal(prev.WarmUntil) {
-		t.cold.Presume(now, cur.WarmUntil, coldstart.Record)
+		t.cold.Infer(now, cur.WarmUntil, coldstart.Record)
 	}
 	if !cur.ReturnedAt.IsZero() && !cur.ReturnedAt.Equal(prev.ReturnedAt) {
-		t.cold.Presume(now, cur.ReturnedAt.Add(l.warmUp), coldstart.Return)
+		t.cold.Infer(now, cur.ReturnedAt.Add(l.warmUp), coldstart.ZoneReturn)
 	}
 }
 
@@ -58,7 +58,7 @@
 		return false // targets of the service do not report their warm-up
 	}
 	wasCold := t.cold.Cold(now)
-	t.cold.Hear(now, remaining)
+	t.cold.Observe(now, remaining)
 	return remaining > 0 && !wasCold
 }
 
@@ -90,5 +90,5 @@
 // Cold targets are idle and therefore look cheapest to every host at the same moment. The
 // quotas of all hosts add up to the configured rate of the target.
 func (s *service) overColdQuota(now time.Time, t *target) bool {
-	return s.coldLimited(now, t) && !s.coldQuotaOf(t).Has(now)
+	return s.coldLimited(now, t) && !s.coldQuotaOf(t).Available(now)
 }
--- a/placer/cold_test.go
+++ b/placer/cold_test.go
@@ -303,7 +303,7 @@
 	change := s.recordProbe(tg, probeResult{reached: true, signals: targetapi.Signals{HasLoad: true, Load: targetapi.Load{Slots: 2, Slowdown: 1}, WarmUp: time.Second}}, time.Millisecond)
 	assert.Equal(t, change, msgCold)
 	assert.Equal(t, tg.connectFailures, 0)
-	assert.Check(t, tg.cold.Cold(time.Now()) && tg.cold.Certain())
+	assert.Check(t, tg.cold.Cold(time.Now()) && tg.cold.Confirmed())
 }
 
 // The log line of a call to a cold target must say why it was taken for cold: by its own report
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -22,7 +22,7 @@
 	"github.com/cactusproxy/cactusproxy/metrics"
 	"github.com/cactusproxy/cactusproxy/outcome"
 	"github.com/cactusproxy/cactusproxy/pick"
-	"github.com/cactusproxy/cactusproxy/policy/placing"
+	"github.com/cactusproxy/cactusproxy/policy/placement"
 	"github.com/cactusproxy/cactusproxy/ports"
 	"github.com/cactusproxy/cactusproxy/targetapi"
 	"github.com/cactusproxy/cactusproxy/upstream"
@@ -85,10 +85,10 @@
 			board:   p.deps.Board,
 			regions: p.deps.Regions,
 			rng:     rand.New(rand.NewPCG(p.rng.Uint64(), 6)),
-			near:    placing.NewUsual(),
-			far:     placing.NewUsual(),
+			near:    placement.NewBaseline(),
+			far:     placement.NewBaseline(),
 			targets: make(map[ports.HostID]*target),
-			subset:  placing.Subset{Seed: p.rng.Uint64()},
+			subset:  placement.Subset{Seed: p.rng.Uint64()},
 		}
 		p.services[key] = s
 	}
@@ -106,13 +106,13 @@
 			return nil, p.refuse(s.refusalReason(c), s.describe())
 		}
 		p.probe(ctx, s, probed)
-		g, last := p.choose(ctx, s, req, probed, placing.MayProbeFar)
+		g, last := p.choose(ctx, s, req, probed, placement.ProbeOtherZones)
 		if g == nil && last == "" {
 			probed = c.all()
-			next := placing.MayWait
+			next := placement.WaitForBetter
 			// Another probe round is worthwhile only if this one brought current load reports.
 			if known := p.probe(ctx, s, probed); !req.Hedge && (!known || waits >= s.maxWaits()) {
-				next = placing.Last
+				next = placement.NoFallback
 			}
 			g, last = p.choose(ctx, s, req, probed, next)
 		}
@@ -129,7 +129,7 @@
 			return nil, p.refuse(outcome.ReasonOverload, "no spare slot")
 		}
 		p.count.waits.Add(1)
-		if !ctxtime.Sleep(ctx, placing.WaitPause) {
+		if !ctxtime.Sleep(ctx, placement.WaitInterval) {
 			return nil, p.refuse(outcome.ReasonQueueTimeout, s.describe())
 		}
 	}
@@ -143,9 +143,9 @@
 		p.deps.Probes.Update()
 	}
 	remaining := p.deps.Probes.Remaining(now)
-	c := s.candidates(now, req, placing.Width(waits, remaining), placing.Blind(remaining))
+	c := s.candidates(now, req, placement.ProbeCount(waits, remaining), placement.ProbesExhausted(remaining))
 	if len(c.all()) == 0 && s.widen(now) {
-		c = s.candidates(now, req, placing.Width(waits, remaining), placing.Blind(remaining))
+		c = s.candidates(now, req, placement.ProbeCount(waits, remaining), placement.ProbesExhausted(remaining))
 	}
 	if s.evacuated > 0 {
 		p.count.evacuated.Add(1)
@@ -158,24 +158,24 @@
 
 // choose grants the best target of a list. It returns a reason if the call is refused, and
 // neither a grant nor a reason if the caller should first try what next allows.
-func (p *Placer) choose(ctx context.Context, s *service, req pick.Request, list []ranked, next placing.Next) (*heldGrant, outcome.Reason) {
+func (p *Placer) choose(ctx context.Context, s *service, req pick.Request, list []ranked, next placement.Fallback) (*heldGrant, outcome.Reason) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	t, cost := s.best(now, placing.Way(req.Bytes), list)
+	t, cost := s.best(now, placement.TransferCost(req.Bytes), list)
 	if t == nil {
-		return nil, overloadIf(next == placing.Last)
+		return nil, overloadIf(next == placement.NoFallback)
 	}
-	expectedWork := t.figures.Time(now)
+	expectedWork := t.figures.ExpectedTime(now)
 	expectedLatency := time.Duration(expectedWork * float64(s.workTime))
-	worthwhile := req.Objective == 0 || placing.Worthwhile(&t.figures, now, expectedLatency, req.Arrived.Add(req.Objective).Sub(now))
+	worthwhile := req.Objective == 0 || placement.Worthwhile(&t.figures, now, expectedLatency, req.Arrived.Add(req.Objective).Sub(now))
 	if at, ok := ctx.Deadline(); ok && expectedLatency > at.Sub(now) {
 		worthwhile = false
 	}
-	switch placing.Decide(cost, worthwhile, next) {
-	case placing.Refuse:
+	switch placement.Decide(cost, worthwhile, next) {
+	case placement.Refuse:
 		return nil, outcome.ReasonOverload
-	case placing.GoOn:
+	case placement.Continue:
 		return nil, ""
 	}
 	if t.info.Evacuated {
@@ -187,7 +187,7 @@
 		p.count.coldCalls.Add(1)
 		basis.Cold = t.cold.Basis(now).String()
 	}
-	t.cold.Use()
+	t.cold.MarkUsed()
 	t.figures.InFlight++
 	return &heldGrant{placer: p, service: s, target: t, info: t.info, expectedWork: expectedWork, basis: basis}, ""
 }
--- a/placer/replaced_probe_test.go
+++ b/placer/replaced_probe_test.go
@@ -32,6 +32,6 @@
 	l.p.deps.OnSignals = func(blackboard.ServiceKey, blackboard.Target, targetapi.Signals) { t.Error("heard") }
 	tg.probeDone = make(chan struct{})
 	l.p.probeTarget(l.p.service(testKey), tg, tg.info, "/h", 1)
-	assert.Check(t, tg.figures.At.IsZero(), "a load report was recorded")
+	assert.Check(t, tg.figures.ReportedAt.IsZero(), "a load report was recorded")
 	assert.Check(t, !tg.available(time.Now()), "the target is not backed off")
 }
--- a/placer/restart_test.go
+++ b/placer/restart_test.go
@@ -71,10 +71,10 @@
 	next := l.listRun(200, false)
 	assert.Check(t, next.available(now))
 	assert.Equal(t, next.figures.InFlight, 0)
-	assert.Check(t, next.figures.At.IsZero())
+	assert.Check(t, next.figures.ReportedAt.IsZero())
 	call.Release(pick.Report{Class: pick.BrokeOff, TargetLoad: targetapi.Load{Running: 9, Slots: 2, Slowdown: 7}})
 	assert.Equal(t, next.figures.InFlight, 0)
-	assert.Check(t, next.figures.At.IsZero(), "a late answer of the former run was recorded")
+	assert.Check(t, next.figures.ReportedAt.IsZero(), "a late answer of the former run was recorded")
 	assert.Check(t, next.available(now))
 	assert.Equal(t, l.p.count.lateResults.Value(), int64(1))
 }
--- a/placer/service.go
+++ b/placer/service.go
@@ -10,7 +10,7 @@
 	"github.com/cactusproxy/cactusproxy/blackboard"
 	"github.com/cactusproxy/cactusproxy/outcome"
 	"github.com/cactusproxy/cactusproxy/policy/health"
-	"github.com/cactusproxy/cactusproxy/policy/placing"
+	"github.com/cactusproxy/cactusproxy/policy/placement"
 	"github.com/cactusproxy/cactusproxy/ports"
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
@@ -35,7 +35,7 @@
 	indexes []int
 	// subset is the part of the service's targets that this host chooses from; with useAll it
 	// chooses from all of them.
-	subset placing.Subset
+	subset placement.Subset
 	useAll bool
 	limits coldLimits
 	// evacuated is the number of targets in list that are in evacuated zones.
@@ -43,10 +43,10 @@
 	failures  health.Service
 	// near and far are moving averages of the load reports of targets in the own zone and in
 	// other zones.
-	near, far placing.Usual
+	near, far placement.Baseline
 	// nearProbeTimes and farProbeTimes are the usual probe response times of targets that do
 	// not report their load.
-	nearProbeTimes, farProbeTimes placing.ProbeTimes
+	nearProbeTimes, farProbeTimes placement.ProbeTimes
 	// loadlessProbes counts consecutive probe responses without a load report, up to
 	// loadlessThreshold. A load report resets it.
 	loadlessProbes int
@@ -87,7 +87,7 @@
 	s.evacuated = 0
 	for i := range list {
 		info := &list[i]
-		if !s.subset.Has(string(info.ID), info.Zone != s.zone) {
+		if !s.subset.Contains(string(info.ID), info.Zone != s.zone) {
 			continue
 		}
 		for len(at) > 0 && before[at[0]].ID < info.ID {
@@ -120,7 +120,7 @@
 // cold targets and must not skip them.
 func (s *service) fitSubset(list []blackboard.Target) {
 	if s.useAll || s.limits.bounded() {
-		s.subset.All()
+		s.subset.IncludeAll()
 		return
 	}
 	near := 0
@@ -129,7 +129,7 @@
 			near++
 		}
 	}
-	s.subset.Fit(near, len(list)-near)
+	s.subset.Resize(near, len(list)-near)
 }
 
 // widen makes the host choose from all targets from now on, because none of its subset takes
@@ -174,8 +174,8 @@
 
 // zoneAverages returns the averages used in place of a target's own load report when that is
 // too old.
-func (s *service) zoneAverages(t *target) *placing.Usual {
-	if t.figures.Far {
+func (s *service) zoneAverages(t *target) *placement.Baseline {
+	if t.figures.OtherZone {
 		return &s.far
 	}
 	return &s.near
@@ -184,8 +184,8 @@
 // recordLoad records a load report of a target. The caller holds the lock.
 func (s *service) recordLoad(now time.Time, t *target, l targetapi.Load) {
 	s.loadlessProbes = 0
-	t.figures.Told(now, l)
-	s.zoneAverages(t).Learn(l, t.figures.Others, t.figures.Slots)
+	t.figures.ObserveLoad(now, l)
+	s.zoneAverages(t).Observe(l, t.figures.OtherCalls, t.figures.Slots)
 }
 
 // loadlessThreshold is the number of consecutive probe responses without a load report after
@@ -201,12 +201,12 @@
 func (s *service) recordLoadlessProbe(now time.Time, t *target, took time.Duration) {
 	s.loadlessProbes = min(s.loadlessProbes+1, loadlessThreshold)
 	times := &s.nearProbeTimes
-	if t.figures.Far {
+	if t.figures.OtherZone {
 		times = &s.farProbeTimes
 	}
-	times.Learn(took)
-	l := t.figures.Answered(now, took, times.Usual())
-	s.zoneAverages(t).Learn(l, t.figures.Others, t.figures.Slots)
+	times.Observe(took)
+	l := t.figures.ObserveProbe(now, took, times.Typical())
+	s.zoneAverages(t).Observe(l, t.figures.OtherCalls, t.figures.Slots)
 }
 
 // best returns the cheapest target of a list that can queue one more call, and its cost, or
@@ -261,7 +261,7 @@
 		room = append(room, ranked{target: t})
 	}
 	cheapest := "none"
-	if t, cost := s.best(now, placing.Way(0), room); t != nil {
+	if t, cost := s.best(now, placement.TransferCost(0), room); t != nil {
 		cheapest = strconv.FormatFloat(cost, 'f', 2, 64)
 	}
 	return fmt.Sprintf("targets=%d open=%d evacuated=%d cold=%d cheapest=%s work=%s oldest_figure=%s list=%d",
@@ -286,7 +286,7 @@
 func (s *service) maxWaits() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return placing.Waits(s.workTime)
+	return placement.MaxWaits(s.workTime)
 }
 
 // workTimeWeight is the weight of one sample in the moving average of the work time.
@@ -316,7 +316,7 @@
 			ejected++
 		}
 	}
-	if !health.Allowed(ejected, len(s.targets)) {
+	if !health.MayEject(ejected, len(s.targets)) {
 		return false
 	}
 	t.health.Eject(now, s.rng)
--- a/placer/target.go
+++ b/placer/target.go
@@ -7,7 +7,7 @@
 	"github.com/cactusproxy/cactusproxy/pick"
 	"github.com/cactusproxy/cactusproxy/policy/coldstart"
 	"github.com/cactusproxy/cactusproxy/policy/health"
-	"github.com/cactusproxy/cactusproxy/policy/placing"
+	"github.com/cactusproxy/cactusproxy/policy/placement"
 )
 
 const (
@@ -28,11 +28,11 @@
 // target is the state that this host keeps for one run of a target.
 type target struct {
 	info    blackboard.Target
-	figures placing.Figures
+	figures placement.TargetState
 	health  health.State
 	// cold is the estimated warm-up state of the target, quota this host's share of the calls
 	// to it while it is cold.
-	cold  coldstart.Belief
+	cold  coldstart.Estimate
 	quota coldQuota
 	// backoffUntil is the time until which the target gets no calls; connectFailures is the
 	// number of consecutive failures to reach it.
@@ -56,13 +56,13 @@
 	info.Leaving = info.Leaving || t.info.Leaving
 	t.info = info
 	t.figures.Slots = max(info.Slots, 1)
-	t.figures.Far = info.Zone != zone
+	t.figures.OtherZone = info.Zone != zone
 }
 
 // available reports whether the target may get a call now.
 func (t *target) available(now time.Time) bool {
 	return !t.info.Leaving && !t.info.Evacuated && !now.Before(t.backoffUntil) && !t.health.Ejected(now) &&
-		(!t.health.Trial() || t.figures.InFlight == 0)
+		(!t.health.OnTrial() || t.figures.InFlight == 0)
 }
 
 // loadKnown reports whether the target has a recent load report and no outstanding probe: a
--- a/policy/retry/retry_test.go
+++ b/policy/retry/retry_test.go
@@ -12,7 +12,7 @@
 	b := NewBudget(0.1, now)
 	taken := 0
 	for range 10_000 {
-		b.Call()
+		b.RecordCall()
 		if b.Take(now) {
 			taken++
 		}
@@ -20,7 +20,7 @@
 	assert.Check(t, taken >= 999 && taken <= 1001, "%d retries of 10000 calls", taken)
 }
 
-func TestAQuietWorkspaceMayRetryOnceInAWhile(t *testing.T) {
+func TestIdleWorkspaceMayRetryOccasionally(t *testing.T) {
 	now := time.Unix(0, 0)
 	b := NewBudget(0.1, now)
 	assert.Check(t, b.Take(now))
@@ -34,7 +34,7 @@
 	assert.Check(t, ok)
 	assert.Equal(t, d, 20*time.Millisecond)
 	_, ok = HedgeDelay(20*time.Millisecond, 4*time.Millisecond, 22*time.Millisecond)
-	assert.Check(t, !ok, "the hedge could not answer in time")
+	assert.Check(t, !ok, "the hedge could not be answered in time")
 	_, ok = HedgeDelay(0, 0, time.Second)
-	assert.Check(t, !ok, "nothing is known yet")
+	assert.Check(t, !ok, "no latency is known yet")
 }
--- a/policy/session/session_test.go
+++ b/policy/session/session_test.go
@@ -23,100 +23,102 @@
 	s.Configure(&declare.Service{Slots: 1, MaxQueue: maxQueue})
 	s.SetTargets(noon, []blackboard.Target{{ID: "t0"}, {ID: "t1"}})
 	s.SetCoordinator(noon, "h0", true)
-	s.Take()
+	s.TakeOutput()
 	return s
 }
 
-func (s *Session) ask(now time.Time) grant.CallID { return s.Ask(now, pick.Request{}, time.Time{}) }
+func (s *Session) request(now time.Time) grant.AttemptID {
+	return s.Submit(now, pick.Request{}, time.Time{})
+}
 
-func TestHostAsksOnceAndWaits(t *testing.T) {
+func TestHostRequestsOnceAndWaits(t *testing.T) {
 	s := newSession(0)
-	id := s.ask(noon)
-	out := s.Take()
+	id := s.request(noon)
+	out := s.TakeOutput()
 	assert.Equal(t, string(out.To), "h0")
-	assert.Equal(t, out.Frame.Asks[0].ID, id)
+	assert.Equal(t, out.Frame.Requests[0].ID, id)
 	assert.Equal(t, len(out.Decisions), 0)
-	s.Told(noon, "h0", grant.Tell{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t1"}}})
-	d := s.Take().Decisions[0]
+	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t1"}}})
+	d := s.TakeOutput().Decisions[0]
 	assert.Equal(t, string(d.Target.ID), "t1")
 	assert.Check(t, !d.Local)
 }
 
-// The coordinator is gone. The first ask waits out the patience; the host then
-// chooses alone, and knocks again at growing intervals, not with every call.
-func TestSilentCoordinatorIsTriedLessAndLess(t *testing.T) {
+// The coordinator has crashed. The first request waits for the reply timeout; then the host
+// chooses locally and retries the coordinator at growing intervals, not with every call.
+func TestUnresponsiveCoordinatorIsRetriedWithBackoff(t *testing.T) {
 	s := newSession(0)
-	s.ask(noon)
-	s.Take()
-	knocks := 0
+	s.request(noon)
+	s.TakeOutput()
+	retries := 0
 	decided := time.Duration(0)
-	for d := time.Duration(0); d < 2*time.Second; d += TickEvery {
+	for d := time.Duration(0); d < 2*time.Second; d += TickInterval {
 		s.Tick(noon.Add(d))
-		out := s.Take()
+		out := s.TakeOutput()
 		if out.To != "" {
-			knocks++
+			retries++
 		}
 		if len(out.Decisions) > 0 && decided == 0 {
 			decided = d
 		}
 	}
-	assert.Equal(t, decided, patience)
-	assert.Check(t, knocks >= 5 && knocks <= 12, "%d knocks in two seconds", knocks)
+	assert.Equal(t, decided, replyTimeout)
+	assert.Check(t, retries >= 5 && retries <= 12, "%d retries in two seconds", retries)
 }
 
-func TestGrantNobodyWaitsForGoesBack(t *testing.T) {
+func TestUnwantedGrantIsReturned(t *testing.T) {
 	s := newSession(0)
-	id := s.ask(noon)
+	id := s.request(noon)
 	s.Cancel(noon, id)
-	s.Take()
-	s.Told(noon, "h0", grant.Tell{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}})
-	out := s.Take()
-	assert.Equal(t, out.Frame.Ends[0].ID, id)
-	assert.Equal(t, out.Frame.Ends[0].Class, grant.Returned)
+	s.TakeOutput()
+	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}})
+	out := s.TakeOutput()
+	assert.Equal(t, out.Frame.Completions[0].ID, id)
+	assert.Equal(t, out.Frame.Completions[0].Class, grant.Unused)
 }
 
-func TestWordOfAFormerCoordinatorCountsForNothing(t *testing.T) {
+func TestReplyOfAFormerCoordinatorIsIgnored(t *testing.T) {
 	s := newSession(0)
-	id := s.ask(noon)
+	id := s.request(noon)
 	s.SetCoordinator(noon, "h1", true)
-	out := s.Take()
+	out := s.TakeOutput()
 	assert.Equal(t, string(out.To), "h1")
 	assert.Check(t, out.Frame.Full)
-	assert.Equal(t, out.Frame.Asks[0].ID, id, "the new one learns of the ask")
-	s.Told(noon, "h0", grant.Tell{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}})
-	assert.Equal(t, len(s.Take().Decisions), 0)
+	assert.Equal(t, out.Frame.Requests[0].ID, id, "the new coordinator learns of the request")
+	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}})
+	assert.Equal(t, len(s.TakeOutput().Decisions), 0)
 }
 
-func TestDeclineAndHopelessAsksAreSettledAtOnce(t *testing.T) {
+func TestDeclineAndHopelessRequestsAreDecidedAtOnce(t *testing.T) {
 	s := newSession(2)
-	s.ask(noon)
-	s.Told(noon, "h0", grant.Tell{Epoch: epoch, Decline: true})
-	assert.Check(t, s.Take().Decisions[0].Local)
-	s.Ask(noon, pick.Request{}, noon.Add(-time.Second))
-	assert.Equal(t, s.Take().Decisions[0].Reason, outcome.ReasonDeadline)
-	for range 3 { // one more takes the last slot, two wait
-		s.ask(noon)
+	s.request(noon)
+	s.HandleReply(noon, "h0", grant.Reply{Epoch: epoch, Decline: true})
+	assert.Check(t, s.TakeOutput().Decisions[0].Local)
+	s.Submit(noon, pick.Request{}, noon.Add(-time.Second))
+	assert.Equal(t, s.TakeOutput().Decisions[0].Reason, outcome.ReasonDeadline)
+	for range 3 { // one takes the last slot, two wait
+		s.request(noon)
 	}
-	s.Take()
-	s.ask(noon)
-	assert.Equal(t, s.Take().Decisions[0].Reason, outcome.ReasonQueueFull)
+	s.TakeOutput()
+	s.request(noon)
+	assert.Equal(t, s.TakeOutput().Decisions[0].Reason, outcome.ReasonQueueFull)
 }
 
-// The coordinator's list lags: it knows only a target that this host knows to
-// be leaving, and would grant it for ever. The host asks once more, then uses
-// the target that it knows itself.
-func TestHostDoesNotGoRoundWithALaggingCoordinator(t *testing.T) {
+// The coordinator's list is stale: it knows only a target that this host knows to be leaving, and
+// would grant it again and again. The host repeats the request once and then uses the target that
+// it knows itself.
+func TestNoRequestLoopWithAStaleCoordinator(t *testing.T) {
 	s := newSession(0)
 	s.SetTargets(noon, []blackboard.Target{{ID: "t0", Leaving: true}, {ID: "t1"}})
-	id := s.ask(noon)
-	s.Take()
-	tell := grant.Tell{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}}
-	s.Told(noon, "h0", tell)
-	out := s.Take()
+	id := s.request(noon)
+	s.TakeOutput()
+	tell := grant.Reply{Epoch: epoch, Grants: []grant.Grant{{ID: id, Target: "t0"}}}
+	s.HandleReply(noon, "h0", tell)
+	out := s.TakeOutput()
 	assert.Equal(t, len(out.Decisions), 0)
-	assert.Equal(t, out.Frame.Asks[0].ID, id)
-	s.Told(noon, "h0", tell)
-	d := s.Take().Decisions
+	assert.Equal(t, out.Frame.Requests[0].ID, id)
+	s.HandleReply(noon, "h0", tell)
+	d := s.TakeOutput().Decisions
 	assert.Equal(t, len(d), 1)
 	assert.Equal(t, string(d[0].Target.ID), "t1")
 }
--- a/policy/suspicion/record.go
+++ b/policy/suspicion/record.go
@@ -7,50 +7,51 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Record is what one host tells another of a request. Times are ages, because
-// the clocks of two hosts need not agree.
+// Record is the state of a request as sent between hosts. Times are sent as ages, because the
+// clocks of two hosts may differ.
 type Record struct {
 	Digest Digest `msgpack:"d"`
 	State  State  `msgpack:"s"`
-	// Age is how long the state has held, Quiet how long ago it was sent.
-	Age    time.Duration `msgpack:"a"`
-	Quiet  time.Duration `msgpack:"q"`
-	Losses []LossRecord  `msgpack:"l"`
-	// Good tells that some host remembers a whole answer to the request.
-	Good bool `msgpack:"g"`
+	// Age is how long the state has been in effect, SinceSent how long ago the request was last
+	// sent.
+	Age       time.Duration `msgpack:"a"`
+	SinceSent time.Duration `msgpack:"q"`
+	Losses    []LossRecord  `msgpack:"l"`
+	// KnownGood is set if some host remembers a complete response to the request.
+	KnownGood bool `msgpack:"g"`
 }
 
-// LossRecord is a Loss as it is told.
+// LossRecord is a Loss as sent between hosts; SinceLoss is the time since it.
 type LossRecord struct {
-	Target ports.RunID   `msgpack:"t"`
-	Ago    time.Duration `msgpack:"a"`
-	Trial  bool          `msgpack:"r"`
+	Target    ports.RunID   `msgpack:"t"`
+	SinceLoss time.Duration `msgpack:"a"`
+	Trial     bool          `msgpack:"r"`
 }
 
-// Record returns what is held of a request, and false if there is nothing.
+// Record returns the state of a request, and false if it is clean.
 func (b *Tracker) Record(now time.Time, d Digest) (Record, bool) {
 	if b.State(now, d) == Clean {
 		return Record{}, false
 	}
 	e := b.entries[d]
-	r := Record{Digest: d, State: e.state, Age: now.Sub(e.since), Quiet: now.Sub(e.sent), Good: e.good}
+	r := Record{Digest: d, State: e.state, Age: now.Sub(e.since), SinceSent: now.Sub(e.sent), KnownGood: e.answered}
 	for _, l := range e.losses {
-		r.Losses = append(r.Losses, LossRecord{Target: l.Target, Ago: now.Sub(l.At), Trial: l.Trial})
+		r.Losses = append(r.Losses, LossRecord{Target: l.Target, SinceLoss: now.Sub(l.At), Trial: l.Trial})
 	}
 	return r, true
 }
 
-// valid reports whether a record can be taken in; it comes from outside.
+// valid reports whether a record is well-formed; it comes from another host.
 func (r Record) valid() bool {
 	if r.State != Suspect && r.State != Quarantined {
 		return false
 	}
-	return r.Age >= 0 && r.Quiet >= 0 && len(r.Losses) > 0 && len(r.Losses) <= maxLosses
+	return r.Age >= 0 && r.SinceSent >= 0 && len(r.Losses) > 0 && len(r.Losses) <= maxLosses
 }
 
-// Merge takes in what another host told, and reports whether that host is behind:
-// the request has been cleared since. New losses add up to evidence here as if
-// they had been seen here; a quarantine is taken over.
+// Merge applies a record from another host. It reports whether that host is behind, because the
+// request has been cleared since. New losses count as evidence as if they had been observed here;
+// a quarantine is adopted.
 func (b *Tracker) Merge(now time.Time, r Record, knownGood bool) (behind bool) {
 	if !r.valid() {
 		return false
@@ -59,8 +60,8 @@
 		return true
 	}
 	e := b.ensure(r.Digest, now)
-	e.good = e.good || r.Good || knownGood
-	if at := now.Add(-r.Quiet); e.sent.Before(at) {
+	e.answered = e.answered || r.KnownGood || knownGood
+	if at := now.Add(-r.SinceSent); e.sent.Before(at) {
 		e.sent = at
 	}
 	fresh := b.mergeLosses(now, e, r.Losses)
@@ -70,45 +71,44 @@
 	}
 	if e.state == Suspect && b.blamed(e) && (fresh || r.State == Quarantined) {
 		b.accuse(r.Digest, e, now.Add(-age))
-		e.settled = age >= b.limits.Settle
+		e.settled = age >= b.limits.SettleTime
 	}
 	return false
 }
 
 // newest returns the age of the newest loss.
 func (r Record) newest() time.Duration {
-	age := r.Losses[0].Ago
+	age := r.Losses[0].SinceLoss
 	for _, l := range r.Losses {
-		age = min(age, l.Ago)
+		age = min(age, l.SinceLoss)
 	}
 	return max(0, age)
 }
 
-// mergeLosses remembers the losses, and reports whether there is new evidence
-// from this wave. Older losses are no evidence by themselves here: which other
-// targets were lost with them is no longer known.
-func (b *Tracker) mergeLosses(now time.Time, e *entry, told []LossRecord) bool {
+// mergeLosses records losses and reports whether there is new evidence within the loss window.
+// Older losses are no evidence by themselves, since it is no longer known which other targets
+// were lost with them.
+func (b *Tracker) mergeLosses(now time.Time, e *entry, records []LossRecord) bool {
 	fresh := false
-	for _, t := range told {
-		l := Loss{Target: t.Target, At: now.Add(-max(0, t.Ago)), Trial: t.Trial}
-		recent := now.Sub(l.At) < b.limits.Wave
+	for _, t := range records {
+		l := Loss{Target: t.Target, At: now.Add(-max(0, t.SinceLoss)), Trial: t.Trial}
+		recent := now.Sub(l.At) < b.limits.LossWindow
 		if recent {
-			b.noteLoss(now, l)
+			b.recordLoss(now, l)
 		}
-		if e.add(l, b.limits.Wave) && recent {
+		if e.add(l, b.limits.LossWindow) && recent {
 			fresh = true
 		}
 	}
 	return fresh
 }
 
-// Fresh reports whether a record was changed by something that happened since age
-// ago.
-func (r Record) Fresh(age time.Duration) bool {
+// ChangedWithin reports whether something changed the record within the last age.
+func (r Record) ChangedWithin(age time.Duration) bool {
 	return r.newest() <= age || r.State == Quarantined && r.Age <= age
 }
 
-// Newest returns up to n records, the latest changed ones first.
+// Newest returns up to n records, the most recently sent requests first.
 func (b *Tracker) Newest(now time.Time, n int) []Record {
 	b.Sweep(now)
 	digests := make([]Digest, 0, len(b.entries))
--- a/policy/suspicion/trial.go
+++ b/policy/suspicion/trial.go
@@ -6,27 +6,27 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Answer tells a host whether it may run a request.
-type Answer uint8
+// Admission tells a host whether it may run a request.
+type Admission uint8
 
 const (
-	// Free requests are not suspected: run them like any other.
-	Free Answer = iota + 1
-	// Alone gives the one permission to try a suspect.
-	Alone
-	// Busy means that another trial is under way, or that its verdict has yet
-	// to settle; ask again.
+	// Unrestricted requests are not suspected and run like any other.
+	Unrestricted Admission = iota + 1
+	// Exclusive grants the only permission to run a suspect in isolation.
+	Exclusive
+	// Busy means that another trial is running, or that the quarantine is not confirmed yet; ask
+	// again.
 	Busy
 	// Refused requests are quarantined.
 	Refused
 )
 
-// Ask asks to run a request. One host keeps the trials of a request, so that
-// two hosts do not lose two targets to it at the same moment.
-func (b *Tracker) Ask(now time.Time, d Digest, holder ports.HostID) Answer {
-	switch b.Sent(now, d) {
+// Admit asks for permission to run a request. All trials of a request go through one host's
+// tracker, so that no two hosts lose targets to it at the same time.
+func (b *Tracker) Admit(now time.Time, d Digest, holder ports.HostID) Admission {
+	switch b.RecordSent(now, d) {
 	case Clean:
-		return Free
+		return Unrestricted
 	case Quarantined:
 		if b.Settled(now, d) {
 			return Refused
@@ -37,12 +37,12 @@
 	if e.trial.holder != "" && now.Before(e.trial.until) {
 		return Busy
 	}
-	e.trial = trial{holder: holder, until: now.Add(b.limits.TrialFor)}
-	return Alone
+	e.trial = trial{holder: holder, until: now.Add(b.limits.TrialTimeout)}
+	return Exclusive
 }
 
-// EndTrial gives the permission back. The request may be tried again unless
-// what was seen meanwhile speaks against it.
+// EndTrial returns the permission. The request may be tried again unless observations in the
+// meantime blame it.
 func (b *Tracker) EndTrial(d Digest, holder ports.HostID) {
 	if e := b.entries[d]; e != nil && e.trial.holder == holder {
 		e.trial = trial{}
--- a/quarantine/messages.go
+++ b/quarantine/messages.go
@@ -45,8 +45,8 @@
 
 // askResp answers kindAsk; Record is set if the request is quarantined.
 type askResp struct {
-	Answer suspicion.Answer `msgpack:"a"`
-	Record suspicion.Record `msgpack:"r"`
+	Answer suspicion.Admission `msgpack:"a"`
+	Record suspicion.Record    `msgpack:"r"`
 }
 
 // endTrialMsg is the body of kindEndTrial. It carries what the trial has shown,
--- a/slots/messages.go
+++ b/slots/messages.go
@@ -29,7 +29,7 @@
 
 type outgoingReply struct {
 	to   ports.HostID
-	tell grant.Tell
+	tell grant.Reply
 }
 
 // overdueNotice tells a host that attempts at these targets are overdue.
@@ -75,16 +75,16 @@
 	return emptyReply{}, nil
 }
 
-func (s *Picker) onTell(_ context.Context, from peer.HostID, t grant.Tell) (emptyReply, error) {
+func (s *Picker) onTell(_ context.Context, from peer.HostID, t grant.Reply) (emptyReply, error) {
 	if svc := s.service(t.Service); svc != nil {
-		svc.process(func(now time.Time) { svc.session.Told(now, from, t) })
+		svc.process(func(now time.Time) { svc.session.HandleReply(now, from, t) })
 	}
 	return emptyReply{}, nil
 }
 
 func (s *Picker) onOverdue(_ context.Context, _ peer.HostID, n overdueNotice) (emptyReply, error) {
 	if svc := s.service(n.Service); svc != nil {
-		svc.process(func(now time.Time) { svc.session.Overdue(now, n.Targets) })
+		svc.process(func(now time.Time) { svc.session.MarkOverdue(now, n.Targets) })
 	}
 	return emptyReply{}, nil
 }
@@ -93,7 +93,7 @@
 func (v *service) recordChanges(overdue []ports.HostID) {
 	s := v.picker
 	s.count.overdue.Add(int64(len(overdue)))
-	for _, id := range v.coordinator.Ejected() {
+	for _, id := range v.coordinator.TakeEjected() {
 		s.count.ejected.Add(1)
 		s.deps.Log.Info("target ejected", zap.Stringer("service", v.key), zap.String("target", string(id)))
 	}
--- a/slots/service.go
+++ b/slots/service.go
@@ -32,7 +32,7 @@
 	mu          sync.Mutex
 	session     *session.Session
 	coordinator *grant.Coordinator
-	waiters     map[grant.CallID]*waiter
+	waiters     map[grant.AttemptID]*waiter
 	applied     versions
 	timer       *time.Timer
 	due         time.Time
@@ -48,7 +48,7 @@
 
 // waiter is a Pick in progress. done is closed once decision is set.
 type waiter struct {
-	id       grant.CallID
+	id       grant.AttemptID
 	ctx      context.Context
 	done     chan struct{}
 	decision session.Decision
@@ -60,7 +60,7 @@
 		key:         key,
 		session:     session.New(key, s.epoch, rand.New(rand.NewPCG(seed, 2))),
 		coordinator: grant.NewCoordinator(key, rand.New(rand.NewPCG(seed, 3))),
-		waiters:     make(map[grant.CallID]*waiter),
+		waiters:     make(map[grant.AttemptID]*waiter),
 	}
 }
 
@@ -128,7 +128,7 @@
 func (v *service) deliverLocal(now time.Time) outbox {
 	var out outbox
 	for {
-		o := v.session.Take()
+		o := v.session.TakeOutput()
 		v.decide(now, o.Decisions)
 		out.overdue = append(out.overdue, o.Overdue...)
 		if o.To == v.picker.self {
@@ -137,12 +137,12 @@
 			out.frames = append(out.frames, outgoingFrame{o.To, o.Frame})
 		}
 		sentToSelf := false
-		v.coordinator.Flush(now, func(to ports.HostID, t grant.Tell) {
+		v.coordinator.Flush(now, func(to ports.HostID, t grant.Reply) {
 			t.Grants = slices.Clone(t.Grants)
 			t.Refusals = slices.Clone(t.Refusals)
 			if to == v.picker.self {
 				sentToSelf = true
-				v.session.Told(now, to, t)
+				v.session.HandleReply(now, to, t)
 				return
 			}
 			out.replies = append(out.replies, outgoingReply{to, t})
@@ -198,7 +198,7 @@
 	v.process(func(now time.Time) {
 		w.id = v.session.NextID()
 		v.waiters[w.id] = w
-		v.session.Ask(now, req, deadline)
+		v.session.Submit(now, req, deadline)
 	})
 	return w
 }
@@ -224,7 +224,7 @@
 	w.decision = session.Decision{ID: w.id, Reason: reason}
 }
 
-func (v *service) endAttempt(id grant.CallID, r pick.Report) {
+func (v *service) endAttempt(id grant.AttemptID, r pick.Report) {
 	v.process(func(now time.Time) { v.session.End(now, id, r) })
 }
 
--- a/slots/slots.go
+++ b/slots/slots.go
@@ -156,7 +156,7 @@
 // heldGrant is a grant that was handed to a caller.
 type heldGrant struct {
 	service  *service
-	id       grant.CallID
+	id       grant.AttemptID
 	target   blackboard.Target
 	released atomic.Bool
 }
