--- a/budget/budget.go
+++ b/budget/budget.go
@@ -99,8 +99,8 @@
 // Timeout is the longest that a probe may take.
 func (s *Shares) Timeout() time.Duration { return s.limits.Timeout }
 
-// Spend is the permission for one probe.
-type Spend struct {
+// Permit is the permission for one probe.
+type Permit struct {
 	s     *Shares
 	w     *workspace
 	lease *lease
@@ -114,7 +114,7 @@
 // Begin asks for one probe of a workspace's target, and reserves its time. A
 // host that asks in vain tries to get a share. The probe has to be begun at
 // once: Live is to be asked right before its first byte goes out.
-func (s *Shares) Begin(name string) (*Spend, bool) {
+func (s *Shares) Begin(name string) (*Permit, bool) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +126,7 @@
 		return nil, false
 	}
 	l := w.held
-	sp := &Spend{s: s, w: w, lease: l, Deadline: now.Add(s.limits.Timeout)}
+	sp := &Permit{s: s, w: w, lease: l, Deadline: now.Add(s.limits.Timeout)}
 	sp.id = l.spent.add(now, s.limits.Timeout)
 	sp.auditID = w.audit.begin(now, s.limits.Timeout, plan, name)
 	s.count.Add(countGranted, 1)
@@ -153,11 +153,11 @@
 // late as its deadline, and has to count for a whole window from then on.
 func (s *Shares) span(p Plan) time.Duration { return p.Window + s.limits.Timeout }
 
-// Live reports whether the probe may still be sent.
+// Valid reports whether the probe may still be sent.
 //
 // After a pause another host may hold the share by now. A probe that starts before Deadline is within
 // the lease.
-func (sp *Spend) Live() bool {
+func (sp *Permit) Valid() bool {
 	if time.Now().Before(sp.Deadline) {
 		return true
 	}
@@ -167,7 +167,7 @@
 
 // Done replaces the reservation by the time that the probe took; 0 if it was not
 // sent.
-func (sp *Spend) Done(took time.Duration) {
+func (sp *Permit) Done(took time.Duration) {
 	s := sp.s
 	if took > s.limits.Timeout {
 		// The probe was given up at its timeout; the rest is this host's delay.
--- a/budget/random_test.go
+++ b/budget/random_test.go
@@ -197,7 +197,7 @@
 		if p.float() < p.script.stall {
 			time.Sleep(time.Duration(p.float() * float64(30*time.Second)))
 		}
-		if !p.careless && !spend.Live() {
+		if !p.careless && !spend.Valid() {
 			spend.Done(0)
 			continue
 		}
--- a/controller/probes/probes.go
+++ b/controller/probes/probes.go
@@ -40,7 +40,7 @@
 
 // Budget gives permission for probes; *budget.Shares does.
 type Budget interface {
-	Begin(workspace string) (*budget.Spend, bool)
+	Begin(workspace string) (*budget.Permit, bool)
 }
 
 // Result is the answer to a probe.
@@ -274,10 +274,10 @@
 }
 
 // probe makes one probe within its deadline.
-func (c *Controller) probe(ctx context.Context, cand Candidate, path string, spend *budget.Spend) {
+func (c *Controller) probe(ctx context.Context, cand Candidate, path string, spend *budget.Permit) {
 	ctx, cancel := context.WithDeadline(ctx, spend.Deadline)
 	defer cancel()
-	if !spend.Live() {
+	if !spend.Valid() {
 		spend.Done(0)
 		c.count.Add(countNotSent, 1)
 		return
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -72,7 +72,7 @@
 	if c.Method != http.MethodHead {
 		a.held = d.held
 	}
-	if s.claim != nil && !s.claim.Sending() {
+	if s.claim != nil && !s.claim.BeginAttempt() {
 		// The host was held up for so long that the claim's row may be gone, and
 		// another send may have taken the key.
 		a.class, a.reason = pick.Canceled, outcome.ReasonKeyExpired
--- a/dispatch/history.go
+++ b/dispatch/history.go
@@ -34,7 +34,7 @@
 	twice := h.once && h.mayHaveRun && a.mayHaveRun
 	invariant.Check(!twice, invariant.AtMostOnce, "attempt=%d target=%s", h.attempts, a.grant.Target().ID)
 	if h.claim != nil && !a.mayHaveRun {
-		h.claim.Refused()
+		h.claim.AttemptRefused()
 	}
 	h.mayHaveRun = h.mayHaveRun || a.mayHaveRun
 }
--- a/dispatch/keyed.go
+++ b/dispatch/keyed.go
@@ -15,7 +15,7 @@
 // Ledger decides which host sends the call of an idempotency key;
 // ledger.Ledger is one.
 type Ledger interface {
-	Begin(ctx context.Context, k ledger.Key) (*ledger.Claim, *ledger.Answer, outcome.Result)
+	Begin(ctx context.Context, k ledger.Key) (*ledger.Claim, *ledger.Response, outcome.Result)
 }
 
 // doKeyed carries out an at-most-once call under the claim of its key.
@@ -36,7 +36,7 @@
 	case r.Result.Outcome == outcome.NotRun:
 		return giveUp(ctx, claim, r)
 	default:
-		claim.Undecided()
+		claim.MarkUndecided()
 		return r
 	}
 }
@@ -87,7 +87,7 @@
 	status, header := r.Status, r.Header.Clone()
 	r.Body = NewReplyBody(kept, func(class pick.Class) {
 		if class != pick.OK {
-			claim.Undecided()
+			claim.MarkUndecided()
 			return
 		}
 		claim.Finish(context.Background(), kept.answer(status, header))
@@ -115,9 +115,9 @@
 
 // answer returns the copy, or nil if the answer was too large: the ledger then
 // notes that the call ran, without its answer.
-func (a *answerCopy) answer(status int, h http.Header) *ledger.Answer {
+func (a *answerCopy) answer(status int, h http.Header) *ledger.Response {
 	if a.overflow {
 		return nil
 	}
-	return &ledger.Answer{Status: status, Header: h, Body: a.buf.Bytes()}
+	return &ledger.Response{Status: status, Header: h, Body: a.buf.Bytes()}
 }
--- a/internal/bench/capacity/memory.go
+++ b/internal/bench/capacity/memory.go
@@ -189,9 +189,9 @@
 	key := ledger.Key{Workspace: "w", Service: "s", Caller: "c", DigestKnown: true}
 	key.Value = l.Issue(key.Workspace, key.Service, key.Caller)
 	claim, _, res := l.Begin(ctx, key)
-	if claim == nil || !claim.Sending() {
+	if claim == nil || !claim.BeginAttempt() {
 		return fmt.Errorf("key not redeemed: %s", res.Reason)
 	}
-	claim.Finish(ctx, &ledger.Answer{Status: http.StatusOK, Body: make([]byte, 100)})
+	claim.Finish(ctx, &ledger.Response{Status: http.StatusOK, Body: make([]byte, 100)})
 	return nil
 }
--- a/internal/bench/claims/claims.go
+++ b/internal/bench/claims/claims.go
@@ -250,7 +250,7 @@
 // callDeadline is the deadline of each call.
 const callDeadline = 2 * time.Second
 
-var answer = &ledger.Answer{Status: 201, Body: []byte(strings.Repeat("x", 200))}
+var answer = &ledger.Response{Status: 201, Body: []byte(strings.Repeat("x", 200))}
 
 // call makes one call up to the point of sending, and ends its claim at once.
 func (b *bench) call(ctx context.Context, l *ledger.Ledger) {
@@ -265,7 +265,7 @@
 	}
 	began := time.Now()
 	c, _, _ := l.Begin(ctx, k)
-	if c == nil || !c.Sending() {
+	if c == nil || !c.BeginAttempt() {
 		if ctx.Err() == nil || time.Since(began) >= callDeadline {
 			b.refused.Add(1)
 		}
--- a/internal/bench/claims/outage_test.go
+++ b/internal/bench/claims/outage_test.go
@@ -95,7 +95,7 @@
 		a.count(r.Outcome.String() + "/" + string(r.Reason))
 		return
 	}
-	if c.Sending() {
+	if c.BeginAttempt() {
 		c.Finish(ctx, answer)
 		a.count("answered")
 	}
--- a/ledger/answers.go
+++ b/ledger/answers.go
@@ -41,7 +41,7 @@
 const headerOverhead = 64
 
 // size estimates the memory of an answer in bytes.
-func (a *Answer) size() int {
+func (a *Response) size() int {
 	n := len(a.Body)
 	for name, values := range a.Header {
 		for _, v := range values {
@@ -53,7 +53,7 @@
 
 // reserve returns the answer if it may be kept until it is written down, or
 // nil if it is too large or too much waits already.
-func (l *Ledger) reserve(a *Answer) *Answer {
+func (l *Ledger) reserve(a *Response) *Response {
 	if a == nil || a.size() > l.opts.MaxAnswer {
 		return nil
 	}
@@ -65,7 +65,7 @@
 }
 
 // release ends the reservation of an answer; nil reserved nothing.
-func (l *Ledger) release(a *Answer) {
+func (l *Ledger) release(a *Response) {
 	if a != nil {
 		l.waiting.Add(-int64(a.size()))
 	}
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -51,7 +51,7 @@
 	owned  bool
 	state  state
 	stamp  time.Time
-	answer *Answer
+	answer *Response
 	// version is the version of the claim's row in the table.
 	version uint64
 }
@@ -92,10 +92,10 @@
 	return c.owned
 }
 
-// Sending is called right before the first byte may leave, and records that it
+// BeginAttempt is called right before the first byte may leave, and records that it
 // may have. If it returns false nothing may be sent: an attempt is under way or
 // has run, the claim has ended, or it is so old that its row may be gone.
-func (c *Claim) Sending() bool {
+func (c *Claim) BeginAttempt() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != phaseHeld || c.tooOld() {
@@ -108,9 +108,9 @@
 
 func (c *Claim) tooOld() bool { return time.Now().Round(0).Sub(c.made) > c.maxHold }
 
-// Refused says that the target refused the attempt before it ran it, so that
+// AttemptRefused says that the target refused the attempt before it ran it, so that
 // another may be made under the same claim.
-func (c *Claim) Refused() {
+func (c *Claim) AttemptRefused() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != phaseSending {
@@ -129,7 +129,7 @@
 // host was held up for so long that a later send may have taken the key.
 func (c *Claim) GiveUp(ctx context.Context) outcome.Result {
 	if !c.end(phaseHeld, stateGivenUp, nil) {
-		c.Undecided()
+		c.MarkUndecided()
 		return c.l.told(outcome.Uncertain(outcome.ReasonKeyUndecided))
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.l.opts.tellWithin()/2)
@@ -155,7 +155,7 @@
 // same request get. It does not wait for the table; an answer that is too large,
 // or for which there is no memory meanwhile, is not kept. The answer must not be
 // changed afterwards.
-func (c *Claim) Finish(_ context.Context, a *Answer) {
+func (c *Claim) Finish(_ context.Context, a *Response) {
 	kept := c.l.reserve(a)
 	if !c.end(phaseSending, stateDone, kept) {
 		c.l.release(kept)
@@ -167,10 +167,10 @@
 	c.settleLater()
 }
 
-// Undecided ends a claim under which the request may have run. It stays, and
+// MarkUndecided ends a claim under which the request may have run. It stays, and
 // later sends are told unknown. A claim under which nothing was sent may be ended
 // so too; only its key is lost.
-func (c *Claim) Undecided() {
+func (c *Claim) MarkUndecided() {
 	if c.end(phaseSending, stateUndecided, nil) || c.end(phaseHeld, stateUndecided, nil) {
 		c.settleLater()
 	}
@@ -197,7 +197,7 @@
 	c.answer = nil
 }
 
-func (c *Claim) end(from phase, to state, a *Answer) bool {
+func (c *Claim) end(from phase, to state, a *Response) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != from {
--- a/ledger/claims_test.go
+++ b/ledger/claims_test.go
@@ -75,7 +75,7 @@
 		time.Sleep(time.Hour)
 		_, r = w.send(t, 1, key("k"))
 		result(t, r, outcome.Unknown, outcome.ReasonKeyUndecided)
-		assert.Check(t, c.Sending())
+		assert.Check(t, c.BeginAttempt())
 		c.Finish(context.Background(), w.target.run(key("k")))
 		assert.Equal(t, len(w.target.runsOf("k")), 1)
 	})
@@ -87,7 +87,7 @@
 	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
 		c, _, _ := w.begin(t, 0, key("k"))
 		result(t, c.GiveUp(context.Background()), outcome.NotRun, outcome.ReasonKeyGivenUp)
-		assert.Check(t, !c.Sending())
+		assert.Check(t, !c.BeginAttempt())
 		_, r := w.send(t, 1, key("k"))
 		result(t, r, outcome.NotRun, outcome.ReasonKeyGivenUp)
 		time.Sleep(time.Second)
@@ -101,7 +101,7 @@
 func TestClaimThatMayHaveRunIsNotGivenUp(t *testing.T) {
 	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
 		c, _, _ := w.begin(t, 0, key("k"))
-		assert.Check(t, c.Sending())
+		assert.Check(t, c.BeginAttempt())
 		result(t, c.GiveUp(context.Background()), outcome.Unknown, outcome.ReasonKeyUndecided)
 		time.Sleep(2 * time.Second)
 		_, r := w.send(t, 1, key("k"))
@@ -114,8 +114,8 @@
 func TestUndecidedBeforeSending(t *testing.T) {
 	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
 		c, _, _ := w.begin(t, 0, key("k"))
-		c.Undecided()
-		assert.Check(t, !c.Sending())
+		c.MarkUndecided()
+		assert.Check(t, !c.BeginAttempt())
 		assert.Check(t, w.hosts[0].ledger.Drain(context.Background()))
 		_, r := w.send(t, 1, key("k"))
 		result(t, r, outcome.Unknown, outcome.ReasonKeyUndecided)
@@ -144,9 +144,9 @@
 func TestOutageIsNotToldAsNotRun(t *testing.T) {
 	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
 		c, _, _ := w.begin(t, 0, key("k"))
-		assert.Check(t, c.Sending())
+		assert.Check(t, c.BeginAttempt())
 		w.target.run(key("k"))
-		c.Undecided()
+		c.MarkUndecided()
 		w.store.SetFaults(store.Faults{Down: true})
 		began := time.Now()
 		_, r := w.send(t, 1, key("k"))
--- a/ledger/history_test.go
+++ b/ledger/history_test.go
@@ -20,7 +20,7 @@
 	key    Key
 	at     time.Time
 	res    outcome.Result
-	answer *Answer
+	answer *Response
 }
 
 // history is a script being played, and then what came of it.
@@ -222,28 +222,28 @@
 }
 
 // holder does with a claim what the send's fate says.
-func (h *history) holder(ctx context.Context, s sendStep, c *Claim, k Key, began time.Time) (*Answer, outcome.Result) {
+func (h *history) holder(ctx context.Context, s sendStep, c *Claim, k Key, began time.Time) (*Response, outcome.Result) {
 	if s.Fate == fateNotSent {
 		return nil, c.GiveUp(ctx)
 	}
-	if !c.Sending() {
+	if !c.BeginAttempt() {
 		return nil, c.GiveUp(ctx)
 	}
 	if s.Fate == fateShed || s.Fate == fateShedTwice {
-		c.Refused()
-		if s.Fate == fateShedTwice || !c.Sending() {
+		c.AttemptRefused()
+		if s.Fate == fateShedTwice || !c.BeginAttempt() {
 			return nil, c.GiveUp(ctx)
 		}
 	}
 	time.Sleep(s.Pauses[2])
-	var a *Answer
+	var a *Response
 	if s.Fate != fateRequestLost {
 		k.Arrived = began
 		a = h.w.target.run(k)
 	}
 	time.Sleep(s.Pauses[3])
 	if s.Fate == fateRequestLost || s.Fate == fateAnswerLost {
-		c.Undecided()
+		c.MarkUndecided()
 		return nil, outcome.Uncertain(outcome.ReasonBrokeOff)
 	}
 	c.Finish(ctx, a)
--- a/ledger/issued_test.go
+++ b/ledger/issued_test.go
@@ -132,13 +132,13 @@
 	inWorld(t, 1, Options{}, func(t *testing.T, w *world) {
 		for _, k := range []Key{key("k"), w.issue(0)} {
 			c, _, _ := w.begin(t, 0, k)
-			assert.Check(t, c.Sending())
-			assert.Check(t, !c.Sending())
-			c.Refused()
-			assert.Check(t, c.Sending())
+			assert.Check(t, c.BeginAttempt())
+			assert.Check(t, !c.BeginAttempt())
+			c.AttemptRefused()
+			assert.Check(t, c.BeginAttempt())
 			c.Finish(context.Background(), w.target.run(k))
-			c.Refused()
-			assert.Check(t, !c.Sending())
+			c.AttemptRefused()
+			assert.Check(t, !c.BeginAttempt())
 			assert.Equal(t, len(w.target.runsOf(k.Value)), 1)
 		}
 	})
--- a/ledger/issuer.go
+++ b/ledger/issuer.go
@@ -33,7 +33,7 @@
 	digestKnown bool
 	state       state
 	stamp       int64
-	answer      *Answer
+	answer      *Response
 }
 
 func newIssuer(l *Ledger) *issuer {
--- a/ledger/issuer_bench_test.go
+++ b/ledger/issuer_bench_test.go
@@ -26,8 +26,8 @@
 				k := key("")
 				k.Value = l.Issue(k.Workspace, k.Service, k.Caller)
 				c, _, _ := l.Begin(context.Background(), k)
-				c.Sending()
-				c.Finish(context.Background(), &Answer{Status: 201, Body: make([]byte, size)})
+				c.BeginAttempt()
+				c.Finish(context.Background(), &Response{Status: 201, Body: make([]byte, size)})
 			}
 			l.runs = newRunLog()
 			runtime.GC()
--- a/ledger/judge.go
+++ b/ledger/judge.go
@@ -11,7 +11,7 @@
 // the stored answer, or else it is told the result.
 type verdict struct {
 	take   bool
-	answer *Answer
+	answer *Response
 	result outcome.Result
 }
 
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -44,8 +44,8 @@
 	Arrived time.Time
 }
 
-// Answer is a target's whole answer.
-type Answer struct {
+// Response is a target's whole answer.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -169,7 +169,7 @@
 
 // Begin returns exactly one of: a claim, whose holder may send; a stored answer;
 // or what to tell the caller.
-func (l *Ledger) Begin(ctx context.Context, k Key) (*Claim, *Answer, outcome.Result) {
+func (l *Ledger) Begin(ctx context.Context, k Key) (*Claim, *Response, outcome.Result) {
 	if k.Arrived.IsZero() {
 		k.Arrived = time.Now()
 	}
@@ -207,7 +207,7 @@
 	return v
 }
 
-func (l *Ledger) answer(v verdict) (*Claim, *Answer, outcome.Result) {
+func (l *Ledger) answer(v verdict) (*Claim, *Response, outcome.Result) {
 	if v.answer != nil {
 		l.counts.Add("stored_answers", 1)
 		return nil, v.answer, outcome.Result{Outcome: outcome.Answered, Reason: outcome.ReasonStored}
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -76,8 +76,8 @@
 	return r, nil
 }
 
-func (r record) answer() *Answer {
-	return &Answer{Status: r.Status, Header: r.Header, Body: r.Body}
+func (r record) answer() *Response {
+	return &Response{Status: r.Status, Header: r.Header, Body: r.Body}
 }
 
 func (r record) stamped() time.Time { return time.Unix(0, r.Stamp) }
--- a/ledger/store_test.go
+++ b/ledger/store_test.go
@@ -147,7 +147,7 @@
 	inWorld(t, 1, Options{OpaqueRetention: 24 * time.Hour}, func(t *testing.T, w *world) {
 		c, _, _ := w.begin(t, 0, key("k"))
 		time.Sleep(13 * time.Hour)
-		assert.Check(t, !c.Sending())
+		assert.Check(t, !c.BeginAttempt())
 		assert.Equal(t, c.GiveUp(context.Background()).Outcome, outcome.Unknown)
 	})
 }
--- a/ledger/world_test.go
+++ b/ledger/world_test.go
@@ -50,11 +50,11 @@
 	caller  string
 }
 
-func (t *target) run(k Key) *Answer {
+func (t *target) run(k Key) *Response {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.runs = append(t.runs, run{key: k.Value, at: time.Now(), arrived: k.Arrived, caller: k.Caller})
-	return &Answer{Status: 201, Body: []byte(answerTo(k))}
+	return &Response{Status: 201, Body: []byte(answerTo(k))}
 }
 
 // answerTo is the target's answer to a request.
@@ -151,7 +151,7 @@
 const deadline = 2 * time.Second
 
 // begin starts a send on a host with the usual deadline.
-func (w *world) begin(t *testing.T, i int, k Key) (*Claim, *Answer, outcome.Result) {
+func (w *world) begin(t *testing.T, i int, k Key) (*Claim, *Response, outcome.Result) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
 	defer cancel()
@@ -159,13 +159,13 @@
 }
 
 // send runs a call to its end the way dispatch does.
-func (w *world) send(t *testing.T, i int, k Key) (*Answer, outcome.Result) {
+func (w *world) send(t *testing.T, i int, k Key) (*Response, outcome.Result) {
 	t.Helper()
 	c, a, r := w.begin(t, i, k)
 	if c == nil {
 		return a, r
 	}
-	if !c.Sending() {
+	if !c.BeginAttempt() {
 		return nil, c.GiveUp(context.Background())
 	}
 	a = w.target.run(k)
