--- a/ledger/batch/commit.go
+++ b/ledger/batch/commit.go
@@ -12,7 +12,7 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Run commits until ctx ends, and returns once no transaction is under way.
+// Run commits writes until ctx ends, and returns once no transaction is in flight.
 func (w *Writer) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -21,9 +21,9 @@
 			return nil
 		}
 		send := w.forward
-		if !w.forwards() {
+		if !w.shouldForward() {
 			send = w.commit
-			if !w.awaitTurn(ctx) {
+			if !w.awaitRateLimit(ctx) {
 				return nil
 			}
 		}
@@ -43,13 +43,13 @@
 	}
 }
 
-// awaitTurn waits until this host may make a transaction. Writes that come
-// meanwhile join it.
-func (w *Writer) awaitTurn(ctx context.Context) bool {
-	return ctxtime.Sleep(ctx, w.untilSoon()) && w.limiter.Wait(ctx) == nil
+// awaitRateLimit waits until the backoff and the rate limit allow a transaction.
+// Writes that are queued meanwhile join it.
+func (w *Writer) awaitRateLimit(ctx context.Context) bool {
+	return ctxtime.Sleep(ctx, w.untilRetry()) && w.limiter.Wait(ctx) == nil
 }
 
-// awaitSlot takes one of the slots for transactions under way.
+// awaitSlot acquires one of the slots for concurrent transactions.
 func (w *Writer) awaitSlot(ctx context.Context) bool {
 	select {
 	case w.slots <- struct{}{}:
@@ -59,7 +59,7 @@
 	}
 }
 
-// awaitWork waits until a transaction is worth making.
+// awaitWork waits until there are writes that should be committed.
 func (w *Writer) awaitWork(ctx context.Context) bool {
 	for {
 		wait := w.untilWork()
@@ -78,12 +78,13 @@
 	}
 }
 
-// idle is how long to wait without any write; a new one ends the wait.
-const idle = time.Hour
+// idleWait is how long to wait while the queues are empty; a new write ends the
+// wait.
+const idleWait = time.Hour
 
-// untilWork returns how long the queued writes can wait. Those that hold up a
-// call can not. Settle writes can: a transaction of their own would leave the
-// next claim to wait for its turn under the limit.
+// untilWork returns how long the queued writes can wait. Writes that block a call
+// can not wait. Settle writes can: a transaction of their own could make the next
+// claim wait for the rate limiter.
 func (w *Writer) untilWork() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -92,34 +93,35 @@
 	}
 	settles := w.queues[Settle]
 	if len(settles) == 0 {
-		return idle
+		return idleWait
 	}
 	if len(settles) >= w.cfg.MaxOps {
 		return 0
 	}
-	return max(w.cfg.Linger-time.Since(settles[0].since), w.untilSpare())
+	return max(w.cfg.Linger-time.Since(settles[0].enqueuedAt), w.untilSpareTokens())
 }
 
-// untilSpare returns how long it takes until the limit leaves a transaction to
-// a claim after one more.
-func (w *Writer) untilSpare() time.Duration {
+// untilSpareTokens returns how long it takes until the rate limiter has tokens for
+// one transaction now and still one for a claim.
+func (w *Writer) untilSpareTokens() time.Duration {
 	missing := minBurst - w.limiter.Tokens()
 	return time.Duration(missing / float64(w.limiter.Limit()) * float64(time.Second))
 }
 
-func (w *Writer) untilSoon() time.Duration {
+func (w *Writer) untilRetry() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return time.Until(w.notSoon)
+	return time.Until(w.retryAt)
 }
 
-// gather takes the writes of one transaction, claims first. No row is written
-// twice in one: the table checks all conditions before it writes, so two
-// inserts of one row would both pass and two sends would both hold the claim.
+// gather removes the writes of one transaction from the queues, claims first. A row
+// is written at most once per transaction: the table checks all conditions before
+// it writes, so two inserts of the same row would both pass and two requests would
+// both hold the claim.
 //
-// A claim of a row whose holder has a write queued goes after that write. Were
-// it first, a caller that sends its key again and again would keep its own answer
-// from ever being written down, and would be told key-in-progress for minutes.
+// A claim of a row for which the holder has a write queued goes after that write.
+// Otherwise a caller that sends its key repeatedly would keep its own response from
+// being stored, and would be told key-in-progress for minutes.
 func (w *Writer) gather() []*entry {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -132,8 +134,8 @@
 		taken := 0
 		for _, e := range w.queues[c] {
 			full := taken >= w.cfg.MaxOps || len(group) > 0 && size+len(e.Op.Value) > w.cfg.MaxBytes
-			behind := Class(c) == Claim && holders[e.Op.Key]
-			if full || rows[e.Op.Key] || behind {
+			afterHolder := Class(c) == Claim && holders[e.Op.Key]
+			if full || rows[e.Op.Key] || afterHolder {
 				rest = append(rest, e)
 				continue
 			}
@@ -145,14 +147,14 @@
 		}
 		w.queues[c] = rest
 	}
-	w.underway += len(group)
+	w.inFlight += len(group)
 	return group
 }
 
-// holderRows returns the rows that holders of claims have writes queued for.
+// holderRows returns the rows for which claim holders have writes queued.
 func (w *Writer) holderRows() map[string]bool {
 	held := make(map[string]bool)
-	for c := GiveUp; c < classes; c++ {
+	for c := GiveUp; c < numClasses; c++ {
 		for _, e := range w.queues[c] {
 			held[e.Op.Key] = true
 		}
@@ -160,7 +162,7 @@
 	return held
 }
 
-// commit makes one transaction and settles or queues again each of its writes.
+// commit makes one transaction, and settles or requeues each of its writes.
 func (w *Writer) commit(group []*entry) {
 	ctx, cancel := context.WithTimeout(context.Background(), w.cfg.Timeout)
 	defer cancel()
@@ -169,11 +171,11 @@
 	switch {
 	case err == nil && res.Applied:
 		w.cfg.Count(countWrites, int64(len(group)))
-		w.calm()
+		w.resetBackoff()
 		w.settleApplied(group)
 	case err == nil:
 		w.cfg.Count(countConflicts, 1)
-		w.calm()
+		w.resetBackoff()
 		w.settleConflicts(group, res.Conflicts)
 	case errors.Is(err, ports.ErrUnavailable):
 		w.cfg.Count(countRefused, 1)
@@ -195,28 +197,28 @@
 
 func (w *Writer) settleApplied(group []*entry) {
 	for _, e := range group {
-		w.settle(e, outcome{res: Result{Applied: true, Row: written(e.Op)}})
+		w.settle(e, outcome{res: Result{Applied: true, Row: writtenRow(e.Op)}})
 	}
 }
 
-// written is the row that an applied operation leaves.
-func written(op ports.Op) ports.Row {
+// writtenRow returns the row that results from an applied operation.
+func writtenRow(op ports.Op) ports.Row {
 	if op.Kind == ports.OpDelete {
 		return ports.Row{Key: op.Key}
 	}
 	return ports.Row{Key: op.Key, Version: op.Version + 1, Value: op.Value}
 }
 
-// settleConflicts answers the writes that were in conflict and queues the rest
-// again: a transaction with one conflict applies nothing at all.
+// settleConflicts settles the writes that were in conflict and requeues the rest: a
+// transaction with one conflict applies nothing at all.
 func (w *Writer) settleConflicts(group []*entry, conflicts []ports.Row) {
-	inWay := make(map[string]ports.Row, len(conflicts))
+	conflicting := make(map[string]ports.Row, len(conflicts))
 	for _, r := range conflicts {
-		inWay[r.Key] = r
+		conflicting[r.Key] = r
 	}
 	var rest []*entry
 	for _, e := range group {
-		row, conflict := inWay[e.Op.Key]
+		row, conflict := conflicting[e.Op.Key]
 		if !conflict {
 			rest = append(rest, e)
 			continue
@@ -227,8 +229,8 @@
 }
 
 // isWritten reports whether a row is as the operation leaves it. Every value
-// holds the unique identity of its claim, so an equal value is this write's own,
-// which took effect although its answer was lost.
+// contains the unique ID of its claim, so an equal value was written by this
+// operation, which took effect although its reply was lost.
 func isWritten(op ports.Op, row ports.Row) bool {
 	if op.Kind == ports.OpDelete {
 		return row.Version == 0
@@ -236,18 +238,18 @@
 	return row.Version > 0 && bytes.Equal(row.Value, op.Value)
 }
 
-// readBack finds out what a transaction without an answer did. A write that is
-// not in its row may still get there, so it is made again: its condition lets
-// only one of the two take effect, and the value tells whose it was.
+// readBack determines the result of a transaction whose reply was lost. A write
+// that is not in its row may still be applied later, so it is repeated: its
+// condition lets only one of the two take effect, and the value tells whose it was.
 func (w *Writer) readBack(group []*entry) {
 	ctx, cancel := context.WithTimeout(context.Background(), w.cfg.Timeout)
 	defer cancel()
-	names := make([]string, len(group))
+	rowKeys := make([]string, len(group))
 	for i, e := range group {
-		names[i] = e.Op.Key
-		e.maybe = true
+		rowKeys[i] = e.Op.Key
+		e.uncertain = true
 	}
-	rows, err := w.table.Get(ctx, names...)
+	rows, err := w.table.Get(ctx, rowKeys...)
 	if err != nil || len(rows) != len(group) {
 		w.backOff()
 		w.requeue(group)
@@ -268,33 +270,33 @@
 	w.requeue(rest)
 }
 
-// settle hands a result to whoever waits for it.
+// settle delivers a result to the waiting caller or to OnLateResult.
 func (w *Writer) settle(e *entry, o outcome) {
 	w.mu.Lock()
-	w.underway--
+	w.inFlight--
 	abandoned := e.abandoned
 	if !abandoned {
 		e.done <- o
 	}
 	w.mu.Unlock()
-	if abandoned && e.Late != nil {
-		e.Late(o.res, o.err)
+	if abandoned && e.OnLateResult != nil {
+		e.OnLateResult(o.res, o.err)
 	}
 }
 
-// requeue puts writes back at the head of their queues. A write that nobody
-// waits for and that can not have taken effect is dropped instead.
+// requeue puts writes back at the head of their queues. An abandoned write that can
+// not have taken effect is dropped instead.
 func (w *Writer) requeue(group []*entry) {
 	var dropped []*entry
 	w.mu.Lock()
-	var back [classes][]*entry
+	var back [numClasses][]*entry
 	for _, e := range group {
-		if e.abandoned && !e.maybe {
+		if e.abandoned && !e.uncertain {
 			dropped = append(dropped, e)
 			continue
 		}
 		e.queued = true
-		w.underway--
+		w.inFlight--
 		back[e.Class] = append(back[e.Class], e)
 	}
 	for c := range back {
@@ -307,15 +309,15 @@
 	w.signal()
 }
 
-func (w *Writer) calm() {
+func (w *Writer) resetBackoff() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.pause = 0
+	w.backoff = 0
 }
 
 func (w *Writer) backOff() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.pause = min(max(2*w.pause, firstPause), lastPause)
-	w.notSoon = time.Now().Add(w.pause)
+	w.backoff = min(max(2*w.backoff, minBackoff), maxBackoff)
+	w.retryAt = time.Now().Add(w.backoff)
 }
--- a/ledger/batch/forward.go
+++ b/ledger/batch/forward.go
@@ -9,54 +9,55 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Status is what became of a forwarded write, as far as the other host knows.
+// Status is the result of a forwarded write, as far as the other host knows.
 type Status uint8
 
 const (
-	// NotWritten: the write did not take effect there and never will.
+	// NotWritten: the other host did not make the write and never will.
 	NotWritten Status = iota + 1
-	// Applied: the row is as the write left it.
+	// Applied: the row is as the write specified.
 	Applied
-	// Conflict: another row was in the way.
+	// Conflict: the current row did not meet the write's condition.
 	Conflict
 	// Pending: the write may have taken effect or may still do so.
 	Pending
 )
 
-// Reply is what became of one forwarded write.
+// Reply is the result of one forwarded write.
 type Reply struct {
 	Status Status `msgpack:"s"`
-	// Version is the version of the row, Value its value if it was in the way.
+	// Version is the version of the row. Value is the row's value in case of a
+	// conflict.
 	Version uint64 `msgpack:"v"`
 	Value   []byte `msgpack:"b,omitempty"`
 }
 
-// Forwarder hands writes to a host that commits those of many hosts together.
+// Forwarder sends writes to a host that commits the writes of many hosts together.
 type Forwarder interface {
 	// Ready reports whether there is such a host, other than this one.
 	Ready() bool
-	// Forward hands writes over and returns what became of each, in order. With
-	// an error nothing is known of any of them.
+	// Forward sends the writes and returns the result of each, in order. If it
+	// returns an error, the result of every write is unknown.
 	Forward(ctx context.Context, writes []Write) ([]Reply, error)
 }
 
-// Times of forwarding.
+// Timing of forwarded writes.
 const (
-	// forwardTimeout bounds the wait for the other host.
+	// forwardTimeout limits the wait for the other host.
 	forwardTimeout = 250 * time.Millisecond
-	// directFor is how long writes go straight to the table after the other
+	// directDuration is how long writes go directly to the table after the other
 	// host failed.
-	directFor = time.Second
+	directDuration = time.Second
 )
 
-// forwards reports whether the next transaction goes through another host. It
-// does if this one would have to wait for its turn: the way through the other
-// host is shorter than that, but longer than a turn that is free.
-func (w *Writer) forwards() bool {
+// shouldForward reports whether the next transaction goes through another host. It
+// does if this host would have to wait for its rate limiter: forwarding is faster
+// than that wait, but slower than a transaction that may be made now.
+func (w *Writer) shouldForward() bool {
 	if w.cfg.Forward == nil || !w.cfg.Forward.Ready() {
 		return false
 	}
-	if w.limiter.Tokens() >= 1 || w.untilSoon() > 0 {
+	if w.limiter.Tokens() >= 1 || w.untilRetry() > 0 {
 		return false
 	}
 	w.mu.Lock()
@@ -64,9 +65,9 @@
 	return !time.Now().Before(w.directUntil)
 }
 
-// forward hands writes to the other host. A write of which nothing is known, or
-// which is pending there, is made again straight in the table: it is the same
-// write, so whichever of the two lands first, the other meets its own value.
+// forward sends writes to the other host. A write whose result is unknown, or that
+// is pending there, is repeated directly in the table: both are the same write, so
+// whichever is applied second finds its own value in the row.
 func (w *Writer) forward(group []*entry) {
 	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout)
 	defer cancel()
@@ -77,11 +78,11 @@
 	w.cfg.Count(countForwards, 1)
 	replies, err := w.cfg.Forward.Forward(ctx, writes)
 	if err != nil || len(replies) != len(group) {
-		w.cfg.Count(countNoForwards, 1)
+		w.cfg.Count(countForwardsFailed, 1)
 		for _, e := range group {
-			e.maybe = true
+			e.uncertain = true
 		}
-		w.goDirect()
+		w.suspendForwarding()
 		w.requeue(group)
 		return
 	}
@@ -92,12 +93,13 @@
 		}
 	}
 	if len(rest) > 0 {
-		w.goDirect()
+		w.suspendForwarding()
 		w.requeue(rest)
 	}
 }
 
-// settleForwarded settles a write whose end is known.
+// settleForwarded settles a write if its result is known, and reports whether it
+// did.
 func (w *Writer) settleForwarded(e *entry, r Reply) bool {
 	switch r.Status {
 	case Applied:
@@ -109,19 +111,19 @@
 		w.settle(e, outcome{res: Result{Applied: isWritten(e.Op, row), Row: row}})
 		return true
 	case Pending:
-		e.maybe = true
+		e.uncertain = true
 	}
 	return false
 }
 
-func (w *Writer) goDirect() {
+func (w *Writer) suspendForwarding() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.directUntil = time.Now().Add(directFor)
+	w.directUntil = time.Now().Add(directDuration)
 }
 
-// DoAll makes the writes that another host has forwarded, and waits for what
-// becomes of them until ctx ends.
+// DoAll makes writes forwarded by another host, and waits for their results until
+// ctx ends.
 func (w *Writer) DoAll(ctx context.Context, writes []Write) []Reply {
 	entries := make([]*entry, len(writes))
 	for i, wr := range writes {
--- a/ledger/batch/writer.go
+++ b/ledger/batch/writer.go
@@ -1,6 +1,12 @@
-// Package batch commits many small writes to the platform's table in few
-// transactions, under a limit of transactions a second, and finds out what
-// became of a write whose answer was lost.
+// Package batch groups small writes to the platform's table into few transactions,
+// limits the transactions per second, and determines the result of writes whose
+// reply was lost.
+//
+// Writes are queued by class and committed together by Writer.Run. A write that
+// conflicts is answered with the row in its way, and the rest of its transaction is
+// queued again. After a lost reply the rows are read back and compared. While the
+// host's own rate is used up, writes may be forwarded to another host that commits
+// for many.
 package batch
 
 import (
@@ -14,32 +20,33 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Class orders writes: a transaction is filled from the lowest class up.
+// Class is the priority of a write: transactions are filled starting with the
+// lowest class.
 type Class uint8
 
 const (
-	// Claim writes hold up a call.
+	// Claim writes block a call.
 	Claim Class = iota
-	// GiveUp writes hold up the answer to a call that is not sent.
+	// GiveUp writes block the result of a call that is not sent.
 	GiveUp
-	// Settle writes hold up nobody.
+	// Settle writes block nothing.
 	Settle
 
-	classes
+	numClasses
 )
 
-// ErrNotWritten says that the write did not take effect and never will.
-var ErrNotWritten = errors.New("write given up before it took effect")
+// ErrNotWritten means that the write did not take effect and never will.
+var ErrNotWritten = errors.New("write canceled before it took effect")
 
-// ErrPending says that the write may have taken effect or may still do so. The
-// writer goes on to find out and then calls the write's Late function.
-var ErrPending = errors.New("write pending")
+// ErrPending means that the write may have taken effect or may still do so. The
+// writer continues to determine the result and then calls the write's OnLateResult.
+var ErrPending = errors.New("write still pending")
 
-// Result is what became of a write.
+// Result is the result of a write.
 type Result struct {
-	// Applied is true if the row is as the write left it.
+	// Applied is true if the row is as the write specified.
 	Applied bool
-	// Row is the present row: the one written, or the one that was in the way.
+	// Row is the current row: the one written, or the one that caused the conflict.
 	Row ports.Row
 }
 
@@ -47,42 +54,44 @@
 type Write struct {
 	Class Class
 	Op    ports.Op
-	// Late is called, if set, after Do returned ErrPending, once it is known
-	// what became of the write; ErrNotWritten if nothing did.
-	Late func(Result, error)
+	// OnLateResult, if set, is called with the result of a write that was pending
+	// when Do returned, or that was made with Go. The error is ErrNotWritten if the
+	// write never took effect.
+	OnLateResult func(Result, error)
 }
 
-// Config sets the limits of a Writer. Zero fields get the defaults.
+// Config sets the limits of a Writer. Zero fields take their defaults.
 type Config struct {
-	// Rate is the number of transactions a second.
+	// Rate is the number of transactions per second.
 	Rate float64
-	// MaxOps bounds the writes of each class in one transaction, so that a
-	// stream of claims does not hold back the answers for good. MaxBytes bounds
-	// the values of all of them.
+	// MaxOps limits the writes of each class in one transaction, so that a stream
+	// of claims does not block Settle writes indefinitely. MaxBytes limits the
+	// total size of the values.
 	MaxOps   int
 	MaxBytes int
-	// InFlight bounds the transactions under way at once.
+	// InFlight limits the number of concurrent transactions.
 	InFlight int
-	// Timeout bounds one transaction or read.
+	// Timeout limits one transaction or read.
 	Timeout time.Duration
-	// Linger is how long Settle writes wait for a transaction that claims pay
-	// for, before they get one of their own.
+	// Linger is how long Settle writes wait to join a transaction with claims
+	// before they get a transaction of their own.
 	Linger time.Duration
-	// Forward, if set, takes the writes in place of the table while it can.
+	// Forward, if set, receives the writes instead of the table while it is ready
+	// and this host's own rate is used up.
 	Forward Forwarder
-	// Count, if set, adds to a counter.
+	// Count, if set, adds n to the named counter.
 	Count func(name string, n int64)
 }
 
 // Names of counters.
 const (
-	countCommits    = "commits"
-	countConflicts  = "commits_in_conflict"
-	countRefused    = "commits_refused"
-	countUncertain  = "commits_uncertain"
-	countWrites     = "writes_committed"
-	countForwards   = "forwards"
-	countNoForwards = "forwards_failed"
+	countCommits        = "commits"
+	countConflicts      = "commits_in_conflict"
+	countRefused        = "commits_refused"
+	countUncertain      = "commits_uncertain"
+	countWrites         = "writes_committed"
+	countForwards       = "forwards"
+	countForwardsFailed = "forwards_failed"
 )
 
 // Defaults of Config.
@@ -95,10 +104,10 @@
 	DefaultLinger   = 100 * time.Millisecond
 )
 
-// Pauses after a transaction that the platform refused.
+// Bounds of the exponential backoff after a transaction that the platform refused.
 const (
-	firstPause = 20 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
 )
 
 func (c Config) withDefaults() Config {
@@ -126,28 +135,28 @@
 	return c
 }
 
-// outcome is a result or the error that stands in for it.
+// outcome is a result, or an error in place of it.
 type outcome struct {
 	res Result
 	err error
 }
 
-// entry is a write on its way.
+// entry is a write that has no result yet.
 type entry struct {
 	Write
 	done chan outcome
-	// since is when the write was asked for.
-	since time.Time
-	// queued is false while the entry is part of a transaction under way.
+	// enqueuedAt is when the write was requested.
+	enqueuedAt time.Time
+	// queued is false while the entry is part of a transaction in flight.
 	queued bool
-	// maybe is set once an answer was lost: the write may take effect at any
-	// later time, until the row shows that it can not any more.
-	maybe bool
-	// abandoned is set once nobody waits in Do.
+	// uncertain is set once a reply was lost: the write may take effect at any
+	// later time, until the row shows that it no longer can.
+	uncertain bool
+	// abandoned is set once no caller of Do waits for the entry.
 	abandoned bool
 }
 
-// Writer is the group commit of one host. It is safe for concurrent use.
+// Writer commits the writes of one host in groups. It is safe for concurrent use.
 type Writer struct {
 	table   ports.Table
 	cfg     Config
@@ -156,15 +165,15 @@
 	slots   chan struct{}
 
 	mu       sync.Mutex
-	queues   [classes][]*entry
-	underway int
-	pause    time.Duration
-	notSoon  time.Time
+	queues   [numClasses][]*entry
+	inFlight int
+	backoff  time.Duration
+	retryAt  time.Time
 	// directUntil is when writes may be forwarded again.
 	directUntil time.Time
 }
 
-// NewWriter returns a writer that works while Run does.
+// NewWriter returns a writer, which commits only while Run is running.
 func NewWriter(table ports.Table, cfg Config) *Writer {
 	cfg = cfg.withDefaults()
 	w := &Writer{
@@ -178,24 +187,25 @@
 	return w
 }
 
-// burstShare is the part of a second's transactions that may go at once;
-// minBurst lets a claim follow at once on a transaction without claims.
+// burstShare divides the rate to get the burst size of the limiter. minBurst lets a
+// claim follow immediately after a transaction without claims.
 const (
 	burstShare = 4
 	minBurst   = 2
 )
 
-// minRate keeps a writer without a share moving.
+// minRate is the lowest rate in transactions per second, so that a writer without a
+// share still makes progress.
 const minRate = 0.1
 
-// SetRate replaces the number of transactions a second.
+// SetRate sets the number of transactions per second.
 func (w *Writer) SetRate(perSecond float64) {
 	perSecond = max(perSecond, minRate)
 	w.limiter.SetLimit(rate.Limit(perSecond))
 	w.limiter.SetBurst(max(minBurst, int(perSecond/burstShare)))
 }
 
-// Do writes and waits for the result until ctx ends. The error is
+// Do makes a write and waits for its result until ctx ends. The error is
 // ErrNotWritten or ErrPending.
 func (w *Writer) Do(ctx context.Context, wr Write) (Result, error) {
 	e := &entry{Write: wr, done: make(chan outcome, 1)}
@@ -212,16 +222,17 @@
 	}
 }
 
-// Go writes without waiting, however long that takes; Late gets the result.
+// Go makes a write without waiting, however long it takes; the write's OnLateResult
+// receives the result.
 func (w *Writer) Go(wr Write) {
-	w.enqueue(&entry{Write: wr, done: make(chan outcome, 1), abandoned: true, maybe: true})
+	w.enqueue(&entry{Write: wr, done: make(chan outcome, 1), abandoned: true, uncertain: true})
 }
 
 // Backlog returns the number of writes that have no result yet.
 func (w *Writer) Backlog() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := w.underway
+	n := w.inFlight
 	for _, q := range w.queues {
 		n += len(q)
 	}
@@ -230,7 +241,7 @@
 
 func (w *Writer) enqueue(e *entry) {
 	w.mu.Lock()
-	e.since = time.Now()
+	e.enqueuedAt = time.Now()
 	e.queued = true
 	w.queues[e.Class] = append(w.queues[e.Class], e)
 	w.mu.Unlock()
@@ -244,8 +255,8 @@
 	}
 }
 
-// abandon ends the waiting for an entry. One that is queued and never went out
-// without an answer is taken back for sure.
+// abandon ends the wait for an entry. An entry that is queued and not uncertain is
+// removed and definitely not written.
 func (w *Writer) abandon(e *entry) (Result, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -254,7 +265,7 @@
 		return o.res, o.err
 	default:
 	}
-	if e.queued && !e.maybe {
+	if e.queued && !e.uncertain {
 		w.drop(e)
 		return Result{}, ErrNotWritten
 	}
--- a/ledger/batch/writer_test.go
+++ b/ledger/batch/writer_test.go
@@ -15,7 +15,7 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// withWriter runs a scenario over a table that answers in 5 ms.
+// withWriter runs f with a running writer and a table that replies after 5 ms.
 func withWriter(t *testing.T, f func(t *testing.T, s *store.Store, w *Writer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -45,8 +45,8 @@
 	return results
 }
 
-// A burst of a thousand calls needs claims at once. They go in transactions of
-// many, and are all made within half a second at 20 transactions a second.
+// The claims of a burst of a thousand calls are grouped into few transactions, and
+// all are made within half a second at 20 transactions per second.
 func TestManyWritesInFewTransactions(t *testing.T) {
 	withWriter(t, func(t *testing.T, s *store.Store, w *Writer) {
 		var writes []Write
@@ -63,8 +63,9 @@
 	})
 }
 
-// Two of many claims are taken already. Their transaction applies nothing; the
-// two learn who has their row, the others are claimed by the next transaction.
+// Two of several claims are already taken. Their transaction applies nothing; these
+// two writes get the conflicting row, and the others are committed by the next
+// transaction.
 func TestConflictDoesNotHoldUpTheOthers(t *testing.T) {
 	withWriter(t, func(t *testing.T, s *store.Store, w *Writer) {
 		doAll(w, insert("a", "theirs"), insert("c", "theirs"))
@@ -76,8 +77,8 @@
 	})
 }
 
-// The answers to writes are lost for a while. One write had taken effect, the
-// other had met another's row; reading back tells them apart.
+// The replies to writes are lost for a while. One write took effect and the other
+// was in conflict; reading back tells them apart.
 func TestLostAnswerIsReadBack(t *testing.T) {
 	withWriter(t, func(t *testing.T, s *store.Store, w *Writer) {
 		doAll(w, insert("taken", "theirs"))
@@ -88,33 +89,34 @@
 	})
 }
 
-// lateOnce loses the first answer, and lets that write land only after a while.
-type lateOnce struct {
+// delayedFirstCommit loses the reply to the first commit and applies it a second
+// later.
+type delayedFirstCommit struct {
 	ports.Table
 	once sync.Once
-	// then, if set, is called when the answer was lost.
-	then func()
+	// onLoss, if set, is called when the reply was lost.
+	onLoss func()
 }
 
-func (l *lateOnce) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
+func (l *delayedFirstCommit) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
 	late := false
 	l.once.Do(func() { late = true })
 	if !late {
 		return l.Table.Commit(ctx, ops...)
 	}
 	time.AfterFunc(time.Second, func() { _, _ = l.Table.Commit(context.Background(), ops...) })
-	if l.then != nil {
-		l.then()
+	if l.onLoss != nil {
+		l.onLoss()
 	}
-	return ports.CommitResult{}, errors.Wrap(ports.ErrUncertain, "answer lost")
+	return ports.CommitResult{}, errors.Wrap(ports.ErrUncertain, "reply lost")
 }
 
-// A write gets no answer and is not there when read back, so it is made again;
-// then the first one lands. The row is written once.
-func TestLateWriteLandsOnItsRepetition(t *testing.T) {
+// A write gets no reply and is not in its row when read back, so it is repeated;
+// then the first one is applied too. The row is written once.
+func TestDelayedWriteMeetsItsRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Limits{})
-		w := NewWriter(&lateOnce{Table: s}, Config{})
+		w := NewWriter(&delayedFirstCommit{Table: s}, Config{})
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = w.Run(ctx) }()
 		r := doAll(w, insert("a", "mine"))[0]
@@ -127,9 +129,9 @@
 	})
 }
 
-// A caller's deadline ends during an outage: its write was refused each time and
-// is taken back for good. Another's ends while its write is under way: it may
-// take effect, and whoever asked for it is told later what became of it.
+// A deadline passes during an outage: the write was refused each time and is
+// canceled for certain. Another passes while the write is in flight: it may take
+// effect, and the caller gets the result later.
 func TestDeadlineTellsNotWrittenFromPending(t *testing.T) {
 	withWriter(t, func(t *testing.T, s *store.Store, w *Writer) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -144,7 +146,7 @@
 		defer cancel()
 		late := make(chan Result, 1)
 		wr := insert("slow", "mine")
-		wr.Late = func(r Result, err error) {
+		wr.OnLateResult = func(r Result, err error) {
 			assert.Check(t, err == nil)
 			late <- r
 		}
@@ -157,19 +159,19 @@
 	})
 }
 
-// A write gets no answer, the store goes down, and the caller's deadline ends. The write may land yet, so it must not be
-// reported as taken back.
+// A write gets no reply, the store goes down, and the caller's deadline passes. The
+// write may still be applied, so it must not be reported as not written.
 func TestWriteThatMayLandIsNotTakenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := store.New(store.Limits{})
 		down := func() { s.SetFaults(store.Faults{Down: true}) }
-		w := NewWriter(&lateOnce{Table: s, then: down}, Config{})
+		w := NewWriter(&delayedFirstCommit{Table: s, onLoss: down}, Config{})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go func() { _ = w.Run(ctx) }()
 		late := make(chan Result, 1)
 		wr := insert("a", "mine")
-		wr.Late = func(r Result, _ error) { late <- r }
+		wr.OnLateResult = func(r Result, _ error) { late <- r }
 		short, stop := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer stop()
 		_, err := w.Do(short, wr)
@@ -179,8 +181,9 @@
 	})
 }
 
-// Two sends of one key are queued together. The table checks all conditions of
-// a transaction before it writes, so in one transaction both would pass.
+// Two requests with the same key are queued together. The table checks all
+// conditions of a transaction before it writes, so both would pass in the same
+// transaction.
 func TestOneRowOnceInATransaction(t *testing.T) {
 	withWriter(t, func(t *testing.T, _ *store.Store, w *Writer) {
 		results := doAll(w, insert("a", "one"), insert("a", "two"))
@@ -188,8 +191,8 @@
 	})
 }
 
-// Answers to store must not slow the claims down: they ride in a claim's
-// transaction, and get one of their own only if none comes.
+// Storing responses must not slow claims down: Settle writes join a transaction
+// with claims, and get one of their own only if there is none.
 func TestSettleWritesWaitForAClaim(t *testing.T) {
 	withWriter(t, func(t *testing.T, s *store.Store, w *Writer) {
 		settle := insert("answer", "done")
@@ -206,9 +209,9 @@
 	})
 }
 
-// A caller sends its key again without a pause while the first send's answer
-// waits to be written down. It gets that answer soon: the holder's write goes
-// before the claims of the same row, which would all meet it in conflict.
+// A caller repeats its key without a pause while the response to the first request
+// waits to be stored. It must get that response soon: the holder's write goes
+// before claims of the same row, which would all conflict with it.
 func TestHolderIsNotStarvedByClaimsOfItsRow(t *testing.T) {
 	withWriter(t, func(t *testing.T, _ *store.Store, w *Writer) {
 		first := doAll(w, insert("a", "claimed"))[0]
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -9,28 +9,29 @@
 	"github.com/cactusproxy/cactusproxy/outcome"
 )
 
-// claimStore is where the claims of a kind of key are kept.
+// claimStore stores the claims of one kind of key.
 type claimStore interface {
-	// take tries to make c the holder of its key. If it does not, and c may yet
-	// become the holder, the store gives it up by itself.
+	// take tries to make c the holder of its key. If it fails although c may still
+	// become the holder later, the store gives c up on its own.
 	take(ctx context.Context, c *Claim) verdict
-	// settle writes down what became of c, as c.record has it, however long it
-	// takes, and then has the ledger forget c. It waits until ctx ends.
+	// settle persists the end of c as returned by c.record, however long it takes,
+	// and then removes c from the active claims. It waits for that only until ctx
+	// ends.
 	settle(ctx context.Context, c *Claim)
 }
 
-// phase is what the holder of a claim is doing.
+// phase is the progress of a claim on the host that made it.
 type phase uint8
 
 const (
-	phaseTaking phase = iota
+	phaseClaiming phase = iota
 	phaseHeld
 	phaseSending
 	phaseSettled
 )
 
-// Claim is the right to send one call. Its holder ends it with exactly one of
-// GiveUp, Finish and Undecided. It is safe for concurrent use.
+// Claim is the permission to send one call. Its holder must end it with exactly one
+// of GiveUp, Finish and MarkUndecided. It is safe for concurrent use.
 type Claim struct {
 	l      *Ledger
 	key    Key
@@ -38,25 +39,26 @@
 	row    string
 	issued keys.ID
 	store  claimStore
-	// made is the wall clock when the call began: a monotonic clock stands still
-	// while its machine is suspended, the table's sweep does not.
-	made    time.Time
-	maxHold time.Duration
+	// createdAt is the wall-clock time at which the claim was created. The
+	// monotonic clock would stop while the machine is suspended, but the table's
+	// sweep does not.
+	createdAt time.Time
+	maxHold   time.Duration
 	// retention is how long the key is remembered after it ran.
 	retention time.Duration
 
 	mu    sync.Mutex
 	phase phase
-	// owned is set once the store has confirmed that the key is this claim's.
-	owned  bool
-	state  state
-	stamp  time.Time
-	answer *Response
+	// owned is set once the store has confirmed that this claim holds the key.
+	owned    bool
+	state    state
+	stamp    time.Time
+	response *Response
 	// version is the version of the claim's row in the table.
 	version uint64
 }
 
-// record returns the claim as its store keeps it.
+// record returns the claim in its stored form.
 func (c *Claim) record() record {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,16 +72,16 @@
 	if c.issued.Issuer == "" {
 		r.Caller = callerDigest(c.key.Caller)
 	}
-	if c.answer != nil {
+	if c.response != nil {
 		r.Kept = true
-		r.Status = c.answer.Status
-		r.Header = c.answer.Header
-		r.Body = c.answer.Body
+		r.Status = c.response.Status
+		r.Header = c.response.Header
+		r.Body = c.response.Body
 	}
 	return r
 }
 
-func (c *Claim) own(p phase) {
+func (c *Claim) markOwned(p phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.owned = true
@@ -92,69 +94,70 @@
 	return c.owned
 }
 
-// BeginAttempt is called right before the first byte may leave, and records that it
-// may have. If it returns false nothing may be sent: an attempt is under way or
-// has run, the claim has ended, or it is so old that its row may be gone.
+// BeginAttempt must be called right before the first byte may leave, and records
+// that it may have. If it returns false, nothing may be sent: an attempt is in
+// progress or has run, the claim has ended, or the claim is so old that its row may
+// have been deleted.
 func (c *Claim) BeginAttempt() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != phaseHeld || c.tooOld() {
 		return false
 	}
-	c.l.runs.start(c.row, c.id, c.retention)
+	c.l.runLog.start(c.row, c.id, c.retention)
 	c.phase = phaseSending
 	return true
 }
 
-func (c *Claim) tooOld() bool { return time.Now().Round(0).Sub(c.made) > c.maxHold }
+func (c *Claim) tooOld() bool { return time.Now().Round(0).Sub(c.createdAt) > c.maxHold }
 
-// AttemptRefused says that the target refused the attempt before it ran it, so that
-// another may be made under the same claim.
+// AttemptRefused records that the target refused the attempt before running it, so
+// that another attempt may be made under the same claim.
 func (c *Claim) AttemptRefused() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != phaseSending {
 		return
 	}
-	c.l.runs.refused(c.row, c.id)
+	c.l.runLog.refused(c.row, c.id)
 	c.phase = phaseHeld
 }
 
-// GiveUp ends a claim under which nothing ran, and frees the key for later
-// sends. It waits a little for the mark to be written, at most until ctx ends.
+// GiveUp ends a claim under which nothing ran, and releases the key for later
+// requests. It waits briefly for this to be persisted, at most until ctx ends.
 //
-// The result is not-run: the key was this claim's alone, so no other send ran
-// it, and none will until the mark is there, which shuts out every send that
-// has arrived so far. It is unknown if an attempt may have run, or if this
-// host was held up for so long that a later send may have taken the key.
+// The result is not-run: only this claim held the key, so no other request ran it,
+// and none will before the given-up record is written, which excludes every request
+// that has arrived so far. The result is unknown if an attempt may have run, or if
+// this host was delayed for so long that a later request may have acquired the key.
 func (c *Claim) GiveUp(ctx context.Context) outcome.Result {
 	if !c.end(phaseHeld, stateGivenUp, nil) {
 		c.MarkUndecided()
-		return c.l.told(outcome.Uncertain(outcome.ReasonKeyUndecided))
+		return c.l.countResult(outcome.Uncertain(outcome.ReasonKeyUndecided))
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.l.opts.tellWithin()/2)
+	ctx, cancel := context.WithTimeout(ctx, c.l.opts.notRunWindow()/2)
 	defer cancel()
 	if c.tooOld() {
 		c.close()
-		return c.l.told(outcome.Uncertain(outcome.ReasonClaimUnknown))
+		return c.l.countResult(outcome.Uncertain(outcome.ReasonClaimUnknown))
 	}
 	c.store.settle(ctx, c)
-	if time.Now().Round(0).Sub(c.marked()) >= c.l.opts.tellWithin() {
-		return c.l.told(outcome.Uncertain(outcome.ReasonKeyGivenUp))
+	if time.Now().Round(0).Sub(c.stamped()) >= c.l.opts.notRunWindow() {
+		return c.l.countResult(outcome.Uncertain(outcome.ReasonKeyGivenUp))
 	}
-	return c.l.told(outcome.Refuse(outcome.ReasonKeyGivenUp))
+	return c.l.countResult(outcome.Refuse(outcome.ReasonKeyGivenUp))
 }
 
-func (c *Claim) marked() time.Time {
+func (c *Claim) stamped() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stamp
 }
 
-// Finish ends a claim with the target's whole answer, which later sends of the
-// same request get. It does not wait for the table; an answer that is too large,
-// or for which there is no memory meanwhile, is not kept. The answer must not be
-// changed afterwards.
+// Finish ends a claim with the target's complete response, which later requests
+// with the same key and content receive. It does not wait for the response to be
+// persisted. A response that is too large, or that exceeds the memory for pending
+// responses, is not stored. The response must not be modified afterwards.
 func (c *Claim) Finish(_ context.Context, a *Response) {
 	kept := c.l.reserve(a)
 	if !c.end(phaseSending, stateDone, kept) {
@@ -167,16 +170,16 @@
 	c.settleLater()
 }
 
-// MarkUndecided ends a claim under which the request may have run. It stays, and
-// later sends are told unknown. A claim under which nothing was sent may be ended
-// so too; only its key is lost.
+// MarkUndecided ends a claim under which the request may have run. The claim
+// remains, and the result of later requests with the key is unknown. It may also be
+// used if nothing was sent, at the cost of the key.
 func (c *Claim) MarkUndecided() {
 	if c.end(phaseSending, stateUndecided, nil) || c.end(phaseHeld, stateUndecided, nil) {
 		c.settleLater()
 	}
 }
 
-// settleLater has the store write the claim down without waiting for it.
+// settleLater has the store persist the end of the claim without waiting for it.
 func (c *Claim) settleLater() {
 	if c.tooOld() {
 		c.close()
@@ -187,14 +190,14 @@
 	c.store.settle(ctx, c)
 }
 
-// close ends the host's interest in a claim: what became of it is written down
-// or can not be any more.
+// close removes the claim from the host's memory, once its end is persisted or can
+// not be persisted any more.
 func (c *Claim) close() {
-	c.l.forget(c)
+	c.l.removeActive(c)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.l.release(c.answer)
-	c.answer = nil
+	c.l.release(c.response)
+	c.response = nil
 }
 
 func (c *Claim) end(from phase, to state, a *Response) bool {
@@ -206,6 +209,6 @@
 	c.phase = phaseSettled
 	c.state = to
 	c.stamp = time.Now().Round(0)
-	c.answer = a
+	c.response = a
 	return true
 }
--- a/ledger/claims_test.go
+++ b/ledger/claims_test.go
@@ -12,149 +12,149 @@
 	"github.com/cactusproxy/cactusproxy/outcome"
 )
 
-// inWorld runs a scenario over started hosts in virtual time.
-func inWorld(t *testing.T, n int, opts Options, f func(t *testing.T, w *world)) {
+// withCluster runs f with n started hosts in virtual time.
+func withCluster(t *testing.T, n int, opts Options, f func(t *testing.T, cl *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(n, opts)
-		w.start()
-		defer w.stop()
-		f(t, w)
+		cl := newCluster(n, opts)
+		cl.start()
+		defer cl.stop()
+		f(t, cl)
 	})
 }
 
-func result(t *testing.T, got outcome.Result, o outcome.Outcome, r outcome.Reason) {
+func checkResult(t *testing.T, got outcome.Result, o outcome.Outcome, r outcome.Reason) {
 	t.Helper()
 	assert.Check(t, got.Outcome == o && got.Reason == r, "got %s/%s, want %s/%s", got.Outcome, got.Reason, o, r)
 }
 
-// The caller loses the answer and sends the same key again, to another host. It
-// gets the first run's answer; the target runs nothing a second time.
+// The caller misses the response and sends the same key to another host. It gets
+// the response of the first run, and the target does not run the request again.
 func TestSecondSendGetsTheStoredAnswer(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		first, _ := w.send(t, 0, key("k"))
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		first, _ := cl.send(t, 0, key("k"))
 		time.Sleep(time.Second)
-		again, r := w.send(t, 1, key("k"))
-		result(t, r, outcome.Answered, outcome.ReasonStored)
+		again, r := cl.send(t, 1, key("k"))
+		checkResult(t, r, outcome.Answered, outcome.ReasonStored)
 		assert.DeepEqual(t, again, first)
-		assert.Equal(t, len(w.target.runsOf("k")), 1)
+		assert.Equal(t, len(cl.target.runsOf("k")), 1)
 	})
 }
 
-// Another caller uses a key that is taken, then the right caller does so with
-// another body. Neither gets the answer nor runs, and neither is told not-run:
-// the key did run.
+// Another caller uses a key that is taken, then the right caller uses it with
+// another body. Neither gets the stored response or runs, and neither is told
+// not-run, because the key did run.
 func TestAnswerBelongsToCallerAndBody(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		w.send(t, 0, key("k"))
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		cl.send(t, 0, key("k"))
 		time.Sleep(time.Second)
 		other := key("k")
 		other.Caller = "eva"
-		_, r := w.send(t, 1, other)
-		result(t, r, outcome.Unknown, outcome.ReasonKeyMismatch)
+		_, r := cl.send(t, 1, other)
+		checkResult(t, r, outcome.Unknown, outcome.ReasonKeyMismatch)
 		changed := key("k")
 		changed.Digest[0] = 2
-		_, r = w.send(t, 1, changed)
-		result(t, r, outcome.Unknown, outcome.ReasonKeyMismatch)
+		_, r = cl.send(t, 1, changed)
+		checkResult(t, r, outcome.Unknown, outcome.ReasonKeyMismatch)
 		large := key("k")
 		large.DigestKnown = false
-		_, r = w.send(t, 1, large)
-		result(t, r, outcome.Unknown, outcome.ReasonAnswerNotKept)
-		assert.Equal(t, len(w.target.runsOf("k")), 1)
+		_, r = cl.send(t, 1, large)
+		checkResult(t, r, outcome.Unknown, outcome.ReasonAnswerNotKept)
+		assert.Equal(t, len(cl.target.runsOf("k")), 1)
 	})
 }
 
-// A host stands still between its claim and sending. Its caller gives up on it
-// and sends again elsewhere, for an hour: each time it is told unknown. Then the
-// host wakes and sends; nothing else has run.
+// A host pauses between its claim and sending. The caller retries on another host
+// for an hour and is told unknown each time. Then the first host continues and
+// sends; nothing else has run.
 func TestPausedHolderFindsItsOwnClaim(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		c, _, _ := w.begin(t, 0, key("k"))
-		_, r := w.send(t, 1, key("k"))
-		result(t, r, outcome.Unknown, outcome.ReasonKeyInProgress)
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		c, _, _ := cl.begin(t, 0, key("k"))
+		_, r := cl.send(t, 1, key("k"))
+		checkResult(t, r, outcome.Unknown, outcome.ReasonKeyInProgress)
 		time.Sleep(time.Hour)
-		_, r = w.send(t, 1, key("k"))
-		result(t, r, outcome.Unknown, outcome.ReasonKeyUndecided)
+		_, r = cl.send(t, 1, key("k"))
+		checkResult(t, r, outcome.Unknown, outcome.ReasonKeyUndecided)
 		assert.Check(t, c.BeginAttempt())
-		c.Finish(context.Background(), w.target.run(key("k")))
-		assert.Equal(t, len(w.target.runsOf("k")), 1)
+		c.Finish(context.Background(), cl.target.run(key("k")))
+		assert.Equal(t, len(cl.target.runsOf("k")), 1)
 	})
 }
 
-// The caller is told not-run by a host that gave up before sending, and sends
-// the key again: at once it is refused again, a second later it runs.
+// A host gives up before sending and tells the caller not-run. A retry is refused
+// at first and runs a second later.
 func TestGivenUpKeyRunsForALaterSend(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		c, _, _ := w.begin(t, 0, key("k"))
-		result(t, c.GiveUp(context.Background()), outcome.NotRun, outcome.ReasonKeyGivenUp)
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		c, _, _ := cl.begin(t, 0, key("k"))
+		checkResult(t, c.GiveUp(context.Background()), outcome.NotRun, outcome.ReasonKeyGivenUp)
 		assert.Check(t, !c.BeginAttempt())
-		_, r := w.send(t, 1, key("k"))
-		result(t, r, outcome.NotRun, outcome.ReasonKeyGivenUp)
+		_, r := cl.send(t, 1, key("k"))
+		checkResult(t, r, outcome.NotRun, outcome.ReasonKeyGivenUp)
 		time.Sleep(time.Second)
-		_, r = w.send(t, 1, key("k"))
-		result(t, r, outcome.Answered, outcome.ReasonOK)
+		_, r = cl.send(t, 1, key("k"))
+		checkResult(t, r, outcome.Answered, outcome.ReasonOK)
 	})
 }
 
-// Bytes have left and nobody knows what became of them. Whatever the holder then
-// asks for, the key is not given up.
+// The request may have run and its result is not known. The key must not be given
+// up, even if the holder calls GiveUp.
 func TestClaimThatMayHaveRunIsNotGivenUp(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		c, _, _ := w.begin(t, 0, key("k"))
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		c, _, _ := cl.begin(t, 0, key("k"))
 		assert.Check(t, c.BeginAttempt())
-		result(t, c.GiveUp(context.Background()), outcome.Unknown, outcome.ReasonKeyUndecided)
+		checkResult(t, c.GiveUp(context.Background()), outcome.Unknown, outcome.ReasonKeyUndecided)
 		time.Sleep(2 * time.Second)
-		_, r := w.send(t, 1, key("k"))
-		result(t, r, outcome.Unknown, outcome.ReasonKeyUndecided)
+		_, r := cl.send(t, 1, key("k"))
+		checkResult(t, r, outcome.Unknown, outcome.ReasonKeyUndecided)
 	})
 }
 
-// A call ends in a way that nobody foresaw, before it was sent. Its claim is
-// settled as undecided and keeps nothing in memory.
+// A call fails unexpectedly before it was sent. Its claim is settled as undecided
+// and uses no memory.
 func TestUndecidedBeforeSending(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		c, _, _ := w.begin(t, 0, key("k"))
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		c, _, _ := cl.begin(t, 0, key("k"))
 		c.MarkUndecided()
 		assert.Check(t, !c.BeginAttempt())
-		assert.Check(t, w.hosts[0].ledger.Drain(context.Background()))
-		_, r := w.send(t, 1, key("k"))
-		result(t, r, outcome.Unknown, outcome.ReasonKeyUndecided)
+		assert.Check(t, cl.hosts[0].ledger.Drain(context.Background()))
+		_, r := cl.send(t, 1, key("k"))
+		checkResult(t, r, outcome.Unknown, outcome.ReasonKeyUndecided)
 	})
 }
 
-// A send is held up before its claim. Meanwhile the caller sends again and is
-// told not-run. The first send wakes later, finds the key given up, and must not
-// run: the caller acts on not-run.
-func TestSendFromBeforeTheMarkDoesNotTakeTheKey(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		held := key("k")
-		held.Arrived = time.Now()
-		c, _, _ := w.begin(t, 0, key("k"))
-		result(t, c.GiveUp(context.Background()), outcome.NotRun, outcome.ReasonKeyGivenUp)
+// A request is delayed before its claim. Meanwhile the caller retries and is told
+// not-run. The delayed request finds the key given up and must not run, because the
+// caller acts on not-run.
+func TestRequestFromBeforeGiveUpDoesNotTakeTheKey(t *testing.T) {
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		delayed := key("k")
+		delayed.Arrived = time.Now()
+		c, _, _ := cl.begin(t, 0, key("k"))
+		checkResult(t, c.GiveUp(context.Background()), outcome.NotRun, outcome.ReasonKeyGivenUp)
 		time.Sleep(time.Minute)
-		_, r := w.send(t, 1, held)
-		result(t, r, outcome.Unknown, outcome.ReasonKeyGivenUp)
-		assert.Equal(t, len(w.target.runsOf("k")), 0)
+		_, r := cl.send(t, 1, delayed)
+		checkResult(t, r, outcome.Unknown, outcome.ReasonKeyGivenUp)
+		assert.Equal(t, len(cl.target.runsOf("k")), 0)
 	})
 }
 
-// The store goes down and the caller's first send, to another host, may have
-// run. The second is told unknown although nothing of it left: not-run would
-// speak of both.
+// The store goes down after the first request, on another host, may have run. The
+// second request gets unknown although nothing of it was sent: not-run would be a
+// statement about both.
 func TestOutageIsNotToldAsNotRun(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		c, _, _ := w.begin(t, 0, key("k"))
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		c, _, _ := cl.begin(t, 0, key("k"))
 		assert.Check(t, c.BeginAttempt())
-		w.target.run(key("k"))
+		cl.target.run(key("k"))
 		c.MarkUndecided()
-		w.store.SetFaults(store.Faults{Down: true})
+		cl.store.SetFaults(store.Faults{Down: true})
 		began := time.Now()
-		_, r := w.send(t, 1, key("k"))
-		result(t, r, outcome.Unknown, outcome.ReasonStoreUnavailable)
+		_, r := cl.send(t, 1, key("k"))
+		checkResult(t, r, outcome.Unknown, outcome.ReasonStoreUnavailable)
 		assert.Equal(t, time.Since(began), deadline)
-		w.store.SetFaults(store.Faults{})
+		cl.store.SetFaults(store.Faults{})
 		time.Sleep(time.Second)
-		_, r = w.send(t, 1, key("k"))
-		result(t, r, outcome.Unknown, outcome.ReasonKeyUndecided)
+		_, r = cl.send(t, 1, key("k"))
+		checkResult(t, r, outcome.Unknown, outcome.ReasonKeyUndecided)
 	})
 }
--- a/ledger/history_test.go
+++ b/ledger/history_test.go
@@ -15,100 +15,103 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// reply is what a caller was told.
+// reply is a result reported to a caller.
 type reply struct {
-	key    Key
-	at     time.Time
-	res    outcome.Result
-	answer *Response
+	key      Key
+	at       time.Time
+	res      outcome.Result
+	response *Response
 }
 
-// history is a script being played, and then what came of it.
+// history runs a scenario and records its results.
 type history struct {
-	script script
-	w      *world
-	keys   []Key
-	late   lateTable
-	// far is how long messages from each host take.
-	far [scriptHosts]atomic.Int64
+	scenario scenario
+	cluster  *cluster
+	keys     []Key
+	table    delayedTable
+	// sendDelays are the delays of messages from each host.
+	sendDelays [scenarioHosts]atomic.Int64
 
 	mu      sync.Mutex
 	replies []reply
-	// last are the replies to one more send of each key after all faults.
-	last   []reply
-	broken []string
+	// finalReplies are the replies to one more request with each key after all
+	// faults have ended.
+	finalReplies []reply
+	violated     []string
 }
 
-// lateTable loses the answers of writes that land later.
-type lateTable struct {
+// delayedTable reports writes as uncertain and applies them after a delay.
+type delayedTable struct {
 	ports.Table
 	delay atomic.Int64
 }
 
-func (t *lateTable) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
+func (t *delayedTable) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
 	d := time.Duration(t.delay.Load())
 	if d == 0 {
 		return t.Table.Commit(ctx, ops...)
 	}
 	time.AfterFunc(d, func() { _, _ = t.Table.Commit(context.Background(), ops...) })
-	return ports.CommitResult{}, errors.Wrap(ports.ErrUncertain, "answer lost, write on its way")
+	return ports.CommitResult{}, errors.Wrap(ports.ErrUncertain, "reply lost, write delayed")
 }
 
-// play runs a script in the present bubble. The wrapper, if any, stands between
-// the ledgers and the table.
-func play(s script, wrap func(ports.Table) ports.Table) *history {
+// runScenario runs a scenario in the current synctest bubble. The wrapper, if any,
+// is placed between the ledgers and the table.
+func runScenario(s scenario, wrap func(ports.Table) ports.Table) *history {
 	opts := Options{}
 	if s.Pooled {
 		opts.PoolRate = 100
 		opts.WriteRate = 0.1
 	}
-	h := &history{script: s, w: newWorld(scriptHosts, opts)}
+	h := &history{scenario: s, cluster: newCluster(scenarioHosts, opts)}
 	for i, v := range s.Views {
-		h.w.hosts[i].view.Store(int64(v))
+		h.cluster.hosts[i].view.Store(int64(v))
 	}
-	h.late.Table = h.w.store
-	h.w.table = &h.late
+	h.table.Table = h.cluster.store
+	h.cluster.table = &h.table
 	if wrap != nil {
-		h.w.table = wrap(h.w.table)
+		h.cluster.table = wrap(h.cluster.table)
 	}
-	h.w.net.Delay = h.delay
-	h.w.start()
+	h.cluster.net.Delay = h.delay
+	h.cluster.start()
 	h.makeKeys()
 	if s.Pooled {
-		h.useUpShares()
+		h.exhaustShares()
 	}
 	var wg sync.WaitGroup
 	for _, f := range s.Faults {
-		wg.Go(func() { h.fail(f) })
+		wg.Go(func() { h.injectFault(f) })
 	}
 	for _, step := range s.Sends {
-		wg.Go(func() { h.send(step) })
+		wg.Go(func() { h.runSend(step) })
 	}
 	wg.Wait()
 	time.Sleep(5 * time.Second)
 	before := len(h.replies)
 	for i := range h.keys {
-		h.send(sendStep{Key: i, Host: i % scriptHosts, Deadline: deadline})
+		h.runSend(sendStep{Key: i, Host: i % scenarioHosts, Deadline: deadline})
 	}
-	h.last = h.replies[before:]
+	h.finalReplies = h.replies[before:]
 	time.Sleep(20 * time.Second)
-	h.w.stop()
+	h.cluster.stop()
 	return h
 }
 
-// delay is half a millisecond between hosts, unless one is far away.
+// delay returns the message delay between two hosts: half a millisecond, unless a
+// fault sets a longer one.
 func (h *history) delay(from, _ ports.HostID) time.Duration {
-	for i := range h.far {
-		if h.w.hosts[i].id == from {
-			return max(time.Duration(h.far[i].Load()), time.Millisecond/2)
+	for i := range h.sendDelays {
+		if h.cluster.hosts[i].id == from {
+			return max(time.Duration(h.sendDelays[i].Load()), time.Millisecond/2)
 		}
 	}
 	return 0
 }
 
-// useUpShares leaves the hosts no way to the table but through the coordinator.
-func (h *history) useUpShares() {
-	for i, host := range h.w.hosts {
+// exhaustShares uses up the hosts' own rate, so that writes have to go through the
+// coordinator.
+func (h *history) exhaustShares() {
+	for i, host := range h.cluster.hosts {
 		for n := range 3 {
 			_, _, _ = host.ledger.Begin(context.Background(), key(fmt.Sprintf("first-%d-%d", i, n)))
 		}
@@ -116,57 +119,57 @@
 }
 
 func (h *history) makeKeys() {
-	for i := range scriptKeys {
+	for i := range scenarioKeys {
 		if i%2 == 0 {
 			h.keys = append(h.keys, key(fmt.Sprintf("key-%d", i)))
 			continue
 		}
-		h.keys = append(h.keys, h.w.issue(i%scriptHosts))
+		h.keys = append(h.keys, h.cluster.issuedKey(i%scenarioHosts))
 	}
 }
 
-// fail makes one fault and ends it.
-func (h *history) fail(f faultStep) {
+// injectFault injects one fault and ends it after its duration.
+func (h *history) injectFault(f faultStep) {
 	time.Sleep(f.At)
 	switch f.Kind {
-	case faultDown:
+	case faultStoreDown:
 		h.storeFault(store.Faults{Down: true, Delay: time.Millisecond}, f.For)
-	case faultSlow:
+	case faultStoreSlow:
 		h.storeFault(store.Faults{Delay: f.Arg}, f.For)
-	case faultLost:
+	case faultReplyLost:
 		var n atomic.Int64
 		h.storeFault(store.Faults{LoseReply: func() bool { return n.Add(1)%2 == 1 }}, f.For)
-	case faultLate:
-		h.late.delay.Store(int64(f.Arg))
+	case faultWriteDelayed:
+		h.table.delay.Store(int64(f.Arg))
 		time.Sleep(f.For)
-		h.late.delay.Store(0)
-	case faultCut:
-		h.w.net.Cut(h.w.hosts[f.Host].id, h.w.hosts[f.Other].id)
+		h.table.delay.Store(0)
+	case faultLinkDown:
+		h.cluster.net.Cut(h.cluster.hosts[f.Host].id, h.cluster.hosts[f.Other].id)
 		time.Sleep(f.For)
-		h.w.net.Heal()
-	case faultFar:
-		h.far[f.Host].Store(int64(f.Arg))
+		h.cluster.net.Heal()
+	case faultHostSlow:
+		h.sendDelays[f.Host].Store(int64(f.Arg))
 		time.Sleep(f.For)
-		h.far[f.Host].Store(0)
-	case faultView:
-		h.w.hosts[f.Host].view.Store(int64(f.Other))
+		h.sendDelays[f.Host].Store(0)
+	case faultCoordinatorView:
+		h.cluster.hosts[f.Host].view.Store(int64(f.Other))
 	case faultCrash:
 		h.crash(f)
 	}
 }
 
 func (h *history) storeFault(f store.Faults, d time.Duration) {
-	h.w.store.SetFaults(f)
+	h.cluster.store.SetFaults(f)
 	time.Sleep(d)
-	h.w.store.SetFaults(store.Faults{})
+	h.cluster.store.SetFaults(store.Faults{})
 }
 
-// crash has a host forget everything and come back as a new incarnation.
+// crash stops a host and restarts it as a new incarnation without its memory.
 func (h *history) crash(f faultStep) {
 	h.mu.Lock()
-	down := h.w.hosts[f.Host].alive.Err() != nil
-	h.w.hosts[f.Host].crash()
-	h.w.net.Leave(h.w.hosts[f.Host].id)
+	down := h.cluster.hosts[f.Host].alive.Err() != nil
+	h.cluster.hosts[f.Host].crash()
+	h.cluster.net.Leave(h.cluster.hosts[f.Host].id)
 	h.mu.Unlock()
 	if down {
 		return
@@ -174,16 +177,16 @@
 	time.Sleep(f.For)
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.w.boot(f.Host)
+	h.cluster.boot(f.Host)
 }
 
-// send plays one send. A host that crashed tells nobody anything and sends
-// nothing more; what it has sent may run all the same.
-func (h *history) send(s sendStep) {
-	defer h.recoverBroken()
+// runSend runs one request. A host that crashed reports nothing and sends nothing
+// more, but what it has sent may still run.
+func (h *history) runSend(s sendStep) {
+	defer h.recoverViolation()
 	time.Sleep(s.At)
 	h.mu.Lock()
-	alive, l := h.w.hosts[s.Host].alive, h.w.hosts[s.Host].ledger
+	alive, l := h.cluster.hosts[s.Host].alive, h.cluster.hosts[s.Host].ledger
 	h.mu.Unlock()
 	k := h.keyOf(s)
 	began := time.Now()
@@ -199,50 +202,52 @@
 		if alive.Err() != nil {
 			return
 		}
-		a, r = h.holder(ctx, s, c, k, began)
+		a, r = h.finishClaim(ctx, s, c, k, began)
 	}
 	if alive.Err() == nil {
-		h.told(reply{key: k, at: time.Now(), res: r, answer: a})
+		h.addReply(reply{key: k, at: time.Now(), res: r, response: a})
 	}
 }
 
 func (h *history) keyOf(s sendStep) Key {
 	k := h.keys[s.Key]
-	if s.Stranger {
+	if s.OtherCaller {
 		k.Caller = "eva"
 	}
-	if s.Changed {
+	if s.OtherBody {
 		k.Digest[0] = 2
 	}
 	k.Arrived = time.Now()
-	if s.Host < len(h.script.Skews) {
-		k.Arrived = k.Arrived.Add(h.script.Skews[s.Host])
+	if s.Host < len(h.scenario.Skews) {
+		k.Arrived = k.Arrived.Add(h.scenario.Skews[s.Host])
 	}
 	return k
 }
 
-// holder does with a claim what the send's fate says.
-func (h *history) holder(ctx context.Context, s sendStep, c *Claim, k Key, began time.Time) (*Response, outcome.Result) {
-	if s.Fate == fateNotSent {
+// finishClaim uses and ends a claim as the step's Ending says.
+func (h *history) finishClaim(
+	ctx context.Context, s sendStep, c *Claim, k Key, began time.Time,
+) (*Response, outcome.Result) {
+	if s.Ending == endNotSent {
 		return nil, c.GiveUp(ctx)
 	}
 	if !c.BeginAttempt() {
 		return nil, c.GiveUp(ctx)
 	}
-	if s.Fate == fateShed || s.Fate == fateShedTwice {
+	if s.Ending == endShed || s.Ending == endShedTwice {
 		c.AttemptRefused()
-		if s.Fate == fateShedTwice || !c.BeginAttempt() {
+		if s.Ending == endShedTwice || !c.BeginAttempt() {
 			return nil, c.GiveUp(ctx)
 		}
 	}
 	time.Sleep(s.Pauses[2])
 	var a *Response
-	if s.Fate != fateRequestLost {
+	if s.Ending != endRequestLost {
 		k.Arrived = began
-		a = h.w.target.run(k)
+		a = h.cluster.target.run(k)
 	}
 	time.Sleep(s.Pauses[3])
-	if s.Fate == fateRequestLost || s.Fate == fateAnswerLost {
+	if s.Ending == endRequestLost || s.Ending == endResponseLost {
 		c.MarkUndecided()
 		return nil, outcome.Uncertain(outcome.ReasonBrokeOff)
 	}
@@ -250,83 +255,85 @@
 	return a, outcome.Result{Outcome: outcome.Answered, Reason: outcome.ReasonOK}
 }
 
-func (h *history) told(r reply) {
+func (h *history) addReply(r reply) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.replies = append(h.replies, r)
 }
 
-// brokenInvariant is what the test's invariant handler panics with.
-type brokenInvariant string
+// invariantViolation is the value with which the test's invariant handler panics.
+type invariantViolation string
 
-func panicOnBroken(name invariant.Name, detail string) {
-	panic(brokenInvariant(string(name) + ": " + detail))
+func panicOnViolation(name invariant.Name, detail string) {
+	panic(invariantViolation(string(name) + ": " + detail))
 }
 
-// recoverBroken notes an invariant that the ledger found broken by itself.
-func (h *history) recoverBroken() {
+// recoverViolation records an invariant violation that the ledger itself detected.
+func (h *history) recoverViolation() {
 	v := recover()
 	if v == nil {
 		return
 	}
-	detail, ok := v.(brokenInvariant)
+	detail, ok := v.(invariantViolation)
 	if !ok {
 		panic(v)
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.broken = append(h.broken, string(detail))
+	h.violated = append(h.violated, string(detail))
 }
 
-// violations judges a history by the target's own record.
+// violations checks a history against the target's own record of its runs.
 func (h *history) violations() []string {
-	found := append(h.broken, h.ranTwice()...)
+	found := append(h.violated, h.duplicateRuns()...)
 	for _, r := range h.replies {
-		found = append(found, h.lies(r)...)
+		found = append(found, h.falseResults(r)...)
 	}
-	return append(found, h.stuck()...)
+	return append(found, h.stuckKeys()...)
 }
 
-func (h *history) ranTwice() []string {
+func (h *history) duplicateRuns() []string {
 	var found []string
 	for _, k := range h.keys {
-		if n := len(h.w.target.runsOf(k.Value)); n > 1 {
+		if n := len(h.cluster.target.runsOf(k.Value)); n > 1 {
 			found = append(found, fmt.Sprintf("key %s ran %d times", k.Value, n))
 		}
 	}
 	return found
 }
 
-// stuck returns the keys whose last send was refused as if the store were still
-// out. Hosts that write through a coordinator have next to no share of their own
-// here, and may have to wait for it.
-func (h *history) stuck() []string {
+// stuckKeys returns the keys whose final request failed as if the store were still
+// unavailable. Pooled scenarios are exempt: their hosts have almost no rate of
+// their own and may have to wait for it.
+func (h *history) stuckKeys() []string {
 	var found []string
-	for _, r := range h.last {
+	for _, r := range h.finalReplies {
 		out := r.res.Reason == outcome.ReasonStoreUnavailable || r.res.Reason == outcome.ReasonClaimUnknown
-		if out && !h.script.Pooled {
-			found = append(found, fmt.Sprintf("key %s: last send told %s", r.key.Value, r.res.Reason))
+		if out && !h.scenario.Pooled {
+			found = append(found,
+				fmt.Sprintf("key %s: result of the final request is %s", r.key.Value, r.res.Reason))
 		}
 	}
 	return found
 }
 
-// lies returns what is untrue in a reply. Not-run is untrue if the key had run
-// by then, or if a send that had begun by then runs it later.
-func (h *history) lies(r reply) []string {
-	runs := h.w.target.runsOf(r.key.Value)
+// falseResults returns the false statements in a reply. Not-run is false if the key
+// had run by then, or if a request that had arrived by then runs later.
+func (h *history) falseResults(r reply) []string {
+	runs := h.cluster.target.runsOf(r.key.Value)
 	var found []string
 	switch r.res.Outcome {
 	case outcome.NotRun:
 		for _, run := range runs {
 			if !run.at.After(r.at) || !run.arrived.After(r.at) {
-				found = append(found, fmt.Sprintf("key %s: not-run told at %v, a send of %v ran at %v",
+				found = append(found, fmt.Sprintf(
+					"key %s: not-run reported at %v, but a request that arrived at %v ran at %v",
 					r.key.Value, r.at, run.arrived, run.at))
 			}
 		}
 	case outcome.Answered:
-		if len(runs) == 0 || string(r.answer.Body) != answerTo(r.key) {
-			found = append(found, fmt.Sprintf("key %s: wrong answer %q", r.key.Value, r.answer.Body))
+		if len(runs) == 0 || string(r.response.Body) != responseBody(r.key) {
+			found = append(found, fmt.Sprintf("key %s: wrong response %q", r.key.Value, r.response.Body))
 		}
 	}
 	return found
--- a/ledger/issued_test.go
+++ b/ledger/issued_test.go
@@ -11,135 +11,135 @@
 	"github.com/cactusproxy/cactusproxy/outcome"
 )
 
-// issue returns a key that a host issued to the usual caller.
-func (w *world) issue(i int) Key {
+// issuedKey returns a key that host i issued to the default caller.
+func (cl *cluster) issuedKey(i int) Key {
 	k := key("")
-	k.Value = w.hosts[i].ledger.Issue(k.Workspace, k.Service, k.Caller)
+	k.Value = cl.hosts[i].ledger.Issue(k.Workspace, k.Service, k.Caller)
 	return k
 }
 
-// The store is down. A caller with a key from one host calls another: the call
-// runs once, and a second send gets its answer, through either host.
+// While the store is down, a caller sends a key issued by one host to another. The
+// call runs once, and a retry through any host gets the stored response.
 func TestIssuedKeyNeedsNoStore(t *testing.T) {
-	inWorld(t, 3, Options{}, func(t *testing.T, w *world) {
-		w.store.SetFaults(store.Faults{Down: true})
-		k := w.issue(0)
-		first, r := w.send(t, 1, k)
-		result(t, r, outcome.Answered, outcome.ReasonOK)
+	withCluster(t, 3, Options{}, func(t *testing.T, cl *cluster) {
+		cl.store.SetFaults(store.Faults{Down: true})
+		k := cl.issuedKey(0)
+		first, r := cl.send(t, 1, k)
+		checkResult(t, r, outcome.Answered, outcome.ReasonOK)
 		time.Sleep(time.Second)
 		for i := range 3 {
-			again, r := w.send(t, i, k)
-			result(t, r, outcome.Answered, outcome.ReasonStored)
+			again, r := cl.send(t, i, k)
+			checkResult(t, r, outcome.Answered, outcome.ReasonStored)
 			assert.DeepEqual(t, again, first)
 		}
-		assert.Equal(t, len(w.target.runsOf(k.Value)), 1)
+		assert.Equal(t, len(cl.target.runsOf(k.Value)), 1)
 	})
 }
 
-// A key is of no use to another caller, nor for another service.
+// An issued key is refused for another caller and for another service.
 func TestIssuedKeyIsBound(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		k := w.issue(0)
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		k := cl.issuedKey(0)
 		k.Caller = "eva"
-		_, r := w.send(t, 1, k)
-		result(t, r, outcome.Unknown, outcome.ReasonKeyMalformed)
-		k = w.issue(0)
+		_, r := cl.send(t, 1, k)
+		checkResult(t, r, outcome.Unknown, outcome.ReasonKeyMalformed)
+		k = cl.issuedKey(0)
 		k.Service = "settlement"
-		_, r = w.send(t, 0, k)
-		result(t, r, outcome.Unknown, outcome.ReasonKeyMalformed)
+		_, r = cl.send(t, 0, k)
+		checkResult(t, r, outcome.Unknown, outcome.ReasonKeyMalformed)
 	})
 }
 
-// The reply of the issuer is lost. The host that asked sends nothing and says
-// unknown, for an earlier send might have run. Once it reaches the issuer the
-// claim is given up there, and a later send of the key may run.
+// The issuer's reply is lost. The requesting host sends nothing and reports
+// unknown, because an earlier request might have run. Once it reaches the issuer,
+// the claim is given up there and a later request with the key may run.
 func TestLostReplyOfTheIssuerSendsNothing(t *testing.T) {
-	inWorld(t, 3, Options{}, func(t *testing.T, w *world) {
-		k := w.issue(0)
-		w.net.Cut(w.hosts[0].id, w.hosts[1].id)
-		_, r := w.send(t, 1, k)
-		result(t, r, outcome.Unknown, outcome.ReasonClaimUnknown)
+	withCluster(t, 3, Options{}, func(t *testing.T, cl *cluster) {
+		k := cl.issuedKey(0)
+		cl.net.Cut(cl.hosts[0].id, cl.hosts[1].id)
+		_, r := cl.send(t, 1, k)
+		checkResult(t, r, outcome.Unknown, outcome.ReasonClaimUnknown)
 		time.Sleep(100 * time.Millisecond)
-		_, r = w.send(t, 2, k)
-		result(t, r, outcome.NotRun, outcome.ReasonKeyGivenUp)
-		assert.Equal(t, len(w.target.runsOf(k.Value)), 0)
-		w.net.Heal()
+		_, r = cl.send(t, 2, k)
+		checkResult(t, r, outcome.NotRun, outcome.ReasonKeyGivenUp)
+		assert.Equal(t, len(cl.target.runsOf(k.Value)), 0)
+		cl.net.Heal()
 		time.Sleep(3 * time.Second)
-		_, r = w.send(t, 2, k)
-		result(t, r, outcome.Answered, outcome.ReasonOK)
+		_, r = cl.send(t, 2, k)
+		checkResult(t, r, outcome.Answered, outcome.ReasonOK)
 	})
 }
 
-// A key has run. A later send asks its issuer, whose reply is lost; the next
-// one, to the same host, must not conclude from that claim, which was given up
-// unsent, that the key did not run.
-func TestClaimThatWasNeverHeldSaysNothingOfTheKey(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		k := w.issue(0)
-		w.send(t, 1, k)
+// After a key has run, a later request asks its issuer, whose reply is lost. That
+// claim is given up without having been confirmed. The next request on the same
+// host must not conclude from it that the key did not run.
+func TestUnconfirmedClaimDoesNotProveNotRun(t *testing.T) {
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		k := cl.issuedKey(0)
+		cl.send(t, 1, k)
 		time.Sleep(time.Second)
-		w.net.Cut(w.hosts[0].id, w.hosts[1].id)
-		_, r := w.send(t, 1, k)
-		result(t, r, outcome.Unknown, outcome.ReasonClaimUnknown)
-		_, r = w.send(t, 1, k)
+		cl.net.Cut(cl.hosts[0].id, cl.hosts[1].id)
+		_, r := cl.send(t, 1, k)
+		checkResult(t, r, outcome.Unknown, outcome.ReasonClaimUnknown)
+		_, r = cl.send(t, 1, k)
 		assert.Equal(t, r.Outcome, outcome.Unknown)
-		assert.Equal(t, len(w.target.runsOf(k.Value)), 1)
+		assert.Equal(t, len(cl.target.runsOf(k.Value)), 1)
 	})
 }
 
-// An issuer crashes and comes back, or does not. Its keys never run again: what
-// it knew of them is gone, and one of them may have run.
+// An issuer crashes and may restart. Its keys never run again: the record of which
+// keys ran is lost, and any of them may have run.
 func TestKeysOfADeadIssuerNeverRun(t *testing.T) {
-	inWorld(t, 2, Options{}, func(t *testing.T, w *world) {
-		ran, fresh := w.issue(0), w.issue(0)
-		w.send(t, 1, ran)
-		w.hosts[0].crash()
-		w.net.Leave(w.hosts[0].id)
-		_, r := w.send(t, 1, fresh)
+	withCluster(t, 2, Options{}, func(t *testing.T, cl *cluster) {
+		ran, fresh := cl.issuedKey(0), cl.issuedKey(0)
+		cl.send(t, 1, ran)
+		cl.hosts[0].crash()
+		cl.net.Leave(cl.hosts[0].id)
+		_, r := cl.send(t, 1, fresh)
 		assert.Equal(t, r.Outcome, outcome.Unknown)
-		w.boot(0)
+		cl.boot(0)
 		time.Sleep(2 * time.Second)
 		for _, k := range []Key{ran, fresh} {
 			for i := range 2 {
-				_, r = w.send(t, i, k)
-				result(t, r, outcome.Unknown, outcome.ReasonIssuerGone)
+				_, r = cl.send(t, i, k)
+				checkResult(t, r, outcome.Unknown, outcome.ReasonIssuerGone)
 			}
 		}
-		assert.Equal(t, len(w.target.runsOf(fresh.Value)), 0)
-		assert.Equal(t, len(w.target.runsOf(ran.Value)), 1)
+		assert.Equal(t, len(cl.target.runsOf(fresh.Value)), 0)
+		assert.Equal(t, len(cl.target.runsOf(ran.Value)), 1)
 	})
 }
 
-// A spent key is remembered until its window has passed, and refused after
-// that: at no time does it run again.
+// A redeemed key is remembered until its window has passed and refused after that,
+// so it never runs again.
 func TestIssuedKeyExpires(t *testing.T) {
-	inWorld(t, 1, Options{}, func(t *testing.T, w *world) {
-		k := w.issue(0)
-		w.send(t, 0, k)
+	withCluster(t, 1, Options{}, func(t *testing.T, cl *cluster) {
+		k := cl.issuedKey(0)
+		cl.send(t, 0, k)
 		for range 20 {
 			time.Sleep(time.Minute)
-			_, r := w.send(t, 0, k)
+			_, r := cl.send(t, 0, k)
 			assert.Check(t, r.Reason == outcome.ReasonStored || r.Reason == outcome.ReasonKeyExpired)
 		}
-		assert.Equal(t, len(w.target.runsOf(k.Value)), 1)
-		assert.Equal(t, len(w.hosts[0].ledger.issuer.spent), 0)
+		assert.Equal(t, len(cl.target.runsOf(k.Value)), 1)
+		assert.Equal(t, len(cl.hosts[0].ledger.issuer.redeemed), 0)
 	})
 }
 
-// The target sheds the call, another takes it, all under one claim. A second
-// attempt beside one that may run is never allowed.
+// A target sheds the call and another one runs it under the same claim. A second
+// attempt is never allowed while the first may run.
 func TestShedCallMayGoToAnotherTarget(t *testing.T) {
-	inWorld(t, 1, Options{}, func(t *testing.T, w *world) {
-		for _, k := range []Key{key("k"), w.issue(0)} {
-			c, _, _ := w.begin(t, 0, k)
+	withCluster(t, 1, Options{}, func(t *testing.T, cl *cluster) {
+		for _, k := range []Key{key("k"), cl.issuedKey(0)} {
+			c, _, _ := cl.begin(t, 0, k)
 			assert.Check(t, c.BeginAttempt())
 			assert.Check(t, !c.BeginAttempt())
 			c.AttemptRefused()
 			assert.Check(t, c.BeginAttempt())
-			c.Finish(context.Background(), w.target.run(k))
+			c.Finish(context.Background(), cl.target.run(k))
 			c.AttemptRefused()
 			assert.Check(t, !c.BeginAttempt())
-			assert.Equal(t, len(w.target.runsOf(k.Value)), 1)
+			assert.Equal(t, len(cl.target.runsOf(k.Value)), 1)
 		}
 	})
 }
--- a/ledger/issuer.go
+++ b/ledger/issuer.go
@@ -10,48 +10,48 @@
 	"github.com/cactusproxy/cactusproxy/outcome"
 )
 
-// issuer keeps the claims of the keys that this incarnation of the host issued.
-// A key costs nothing until it is redeemed. The memory is the only authority
-// over these keys, so they die with it: were a later incarnation to redeem
-// them, a key that had run would run again.
+// issuer manages the claims of the keys issued by this incarnation of the host. A
+// key uses no memory until it is redeemed. This memory is the only authority over
+// the keys, so they become invalid with it: if a later incarnation redeemed them, a
+// key that had already run would run again.
 type issuer struct {
 	l      *Ledger
 	start  time.Time
 	serial atomic.Uint64
 
 	mu sync.Mutex
-	// spent holds the redeemed keys by the minute they were made, so that they
-	// can be dropped together.
-	spent   map[int64]map[uint64]*spentKey
-	answers answerQueue
+	// redeemed holds the redeemed keys by the minute of their creation, so that
+	// they can be dropped together, and then by serial.
+	redeemed  map[int64]map[uint64]*redeemedKey
+	responses responseQueue
 }
 
-// spentKey is what is known of a redeemed key.
-type spentKey struct {
+// redeemedKey is the state of a redeemed key.
+type redeemedKey struct {
 	claim       claimID
 	digest      Digest
 	digestKnown bool
 	state       state
 	stamp       int64
-	answer      *Response
+	response    *Response
 }
 
 func newIssuer(l *Ledger) *issuer {
 	return &issuer{
-		l:       l,
-		start:   time.Now(),
-		spent:   make(map[int64]map[uint64]*spentKey),
-		answers: answerQueue{limit: l.opts.AnswerMemory},
+		l:         l,
+		start:     time.Now(),
+		redeemed:  make(map[int64]map[uint64]*redeemedKey),
+		responses: responseQueue{limit: l.opts.ResponseMemory},
 	}
 }
 
-// now is a clock that never goes back: a key that was dropped as expired must
-// not come into its window again when the machine's clock is set back.
+// now returns a time that never goes backwards: a key that was dropped as expired
+// must not become valid again when the machine's clock is set back.
 func (b *issuer) now() time.Time { return b.start.Add(time.Since(b.start)) }
 
 func (b *issuer) issue(bind keys.Binding) string {
 	b.l.counts.Add("keys_issued", 1)
-	return b.l.sealer.Seal(bind, keys.ID{
+	return b.l.signer.Sign(bind, keys.ID{
 		Issuer:      b.l.host,
 		Incarnation: b.l.incarnation,
 		Serial:      b.serial.Add(1),
@@ -59,55 +59,55 @@
 	})
 }
 
-// take redeems a key of this host.
+// take redeems a key issued by this host.
 func (b *issuer) take(_ context.Context, c *Claim) verdict {
 	reply := b.redeem(newRedeemRequest(c))
 	b.l.counts.Add("redeemed_here", 1)
 	v := b.l.judgeReply(reply, c)
 	if !v.take {
-		b.l.forget(c)
+		b.l.removeActive(c)
 	}
 	return v
 }
 
-// settle writes down what became of a claim of this host.
+// settle records the end of a claim of this host.
 func (b *issuer) settle(_ context.Context, c *Claim) {
-	b.record(settleRequest{ID: newIssuedID(c.issued), Record: c.record()})
+	b.recordEnd(settleRequest{ID: newIssuedID(c.issued), Record: c.record()})
 	c.close()
 }
 
-// redeem gives the key to the first claim that asks. Asking again for the same
-// claim gives the same reply, so a lost reply can be asked for.
+// redeem grants the key to the first claim that asks for it. It is idempotent per
+// claim, so that a host may retry after a lost reply.
 func (b *issuer) redeem(req redeemRequest) redeemReply {
 	if req.ID.Incarnation != b.l.incarnation {
-		return redeemReply{Status: redeemGone}
+		return redeemReply{Status: redeemIssuerRestarted}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.expired(req.ID) {
 		return redeemReply{Status: redeemExpired}
 	}
-	minute := b.minute(req.ID)
-	sk := minute[req.ID.Serial]
-	if sk == nil {
-		minute[req.ID.Serial] = newSpentKey(req)
-		return redeemReply{Status: redeemHeld}
+	minute := b.minuteKeys(req.ID)
+	rk := minute[req.ID.Serial]
+	if rk == nil {
+		minute[req.ID.Serial] = newRedeemedKey(req)
+		return redeemReply{Status: redeemGranted}
 	}
-	if sk.claim == req.Claim && sk.state == stateClaimed {
-		return redeemReply{Status: redeemHeld}
+	if rk.claim == req.Claim && rk.state == stateClaimed {
+		return redeemReply{Status: redeemGranted}
 	}
-	r := sk.record()
+	r := rk.record()
 	if b.l.judge(r, req.key(), time.Now()).take {
-		minute[req.ID.Serial] = newSpentKey(req)
-		return redeemReply{Status: redeemHeld}
+		minute[req.ID.Serial] = newRedeemedKey(req)
+		return redeemReply{Status: redeemGranted}
 	}
-	return redeemReply{Status: redeemTold, Record: r}
+	return redeemReply{Status: redeemTaken, Record: r}
 }
 
-// record writes down what became of a claim. A claim that was given up before
-// the issuer was asked for it is written down too: its request may be on the
-// way still and must find the key given up.
-func (b *issuer) record(req settleRequest) settleReply {
+// recordEnd records the end of a claim. This includes a claim that was given up
+// before its redeem request arrived: the request may still be in transit and must
+// find the key given up.
+func (b *issuer) recordEnd(req settleRequest) settleReply {
 	if req.ID.Incarnation != b.l.incarnation {
 		return settleReply{}
 	}
@@ -116,15 +116,15 @@
 	if b.expired(req.ID) {
 		return settleReply{}
 	}
-	minute := b.minute(req.ID)
-	sk := minute[req.ID.Serial]
-	if sk == nil {
-		sk = &spentKey{claim: req.Record.Claim, state: stateClaimed}
-		minute[req.ID.Serial] = sk
+	minute := b.minuteKeys(req.ID)
+	rk := minute[req.ID.Serial]
+	if rk == nil {
+		rk = &redeemedKey{claim: req.Record.Claim, state: stateClaimed}
+		minute[req.ID.Serial] = rk
 	}
-	if sk.claim == req.Record.Claim && sk.state == stateClaimed {
-		sk.end(req.Record)
-		b.answers.add(sk)
+	if rk.claim == req.Record.Claim && rk.state == stateClaimed {
+		rk.end(req.Record)
+		b.responses.add(rk)
 	}
 	return settleReply{}
 }
@@ -133,51 +133,51 @@
 	return b.now().UnixMilli()-id.Time > b.l.opts.IssuedWindow.Milliseconds()
 }
 
-const minuteMilli = int64(time.Minute / time.Millisecond)
+const millisPerMinute = int64(time.Minute / time.Millisecond)
 
-func (b *issuer) minute(id issuedID) map[uint64]*spentKey {
-	n := id.Time / minuteMilli
-	m := b.spent[n]
+func (b *issuer) minuteKeys(id issuedID) map[uint64]*redeemedKey {
+	n := id.Time / millisPerMinute
+	m := b.redeemed[n]
 	if m == nil {
-		m = make(map[uint64]*spentKey)
-		b.spent[n] = m
+		m = make(map[uint64]*redeemedKey)
+		b.redeemed[n] = m
 	}
 	return m
 }
 
-// expire drops the keys past their window until ctx ends.
+// expire drops expired keys until ctx ends.
 func (b *issuer) expire(ctx context.Context) error {
 	tick := time.NewTicker(time.Minute)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			b.drop()
+			b.dropExpired()
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// drop forgets whole minutes in which every key is expired.
-func (b *issuer) drop() {
+// dropExpired drops each minute whose keys have all expired.
+func (b *issuer) dropExpired() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	oldest := b.now().UnixMilli() - b.l.opts.IssuedWindow.Milliseconds()
-	for n, m := range b.spent {
-		if (n+1)*minuteMilli >= oldest {
+	for n, m := range b.redeemed {
+		if (n+1)*millisPerMinute >= oldest {
 			continue
 		}
-		for _, sk := range m {
-			b.answers.remove(sk)
+		for _, rk := range m {
+			b.responses.remove(rk)
 		}
-		delete(b.spent, n)
+		delete(b.redeemed, n)
 	}
-	b.answers.trim()
+	b.responses.trim()
 }
 
-func newSpentKey(req redeemRequest) *spentKey {
-	return &spentKey{
+func newRedeemedKey(req redeemRequest) *redeemedKey {
+	return &redeemedKey{
 		claim:       req.Claim,
 		digest:      req.Digest,
 		digestKnown: req.DigestKnown,
@@ -186,17 +186,17 @@
 	}
 }
 
-func (k *spentKey) end(r record) {
+func (k *redeemedKey) end(r record) {
 	k.state = r.State
 	k.stamp = r.Stamp
 	k.digest = r.Digest
 	k.digestKnown = r.DigestKnown
 	if r.Kept {
-		k.answer = r.answer()
+		k.response = r.response()
 	}
 }
 
-func (k *spentKey) record() record {
+func (k *redeemedKey) record() record {
 	r := record{
 		State:       k.state,
 		Claim:       k.claim,
@@ -204,29 +204,29 @@
 		DigestKnown: k.digestKnown,
 		Stamp:       k.stamp,
 	}
-	if k.answer != nil {
+	if k.response != nil {
 		r.Kept = true
-		r.Status = k.answer.Status
-		r.Header = k.answer.Header
-		r.Body = k.answer.Body
+		r.Status = k.response.Status
+		r.Header = k.response.Header
+		r.Body = k.response.Body
 	}
 	return r
 }
 
-// judgeReply says what an issuer's reply means for a send.
+// judgeReply decides on a request by the issuer's reply.
 func (l *Ledger) judgeReply(reply redeemReply, c *Claim) verdict {
 	switch reply.Status {
-	case redeemHeld:
+	case redeemGranted:
 		return verdict{take: true}
-	case redeemGone:
-		return tell(outcome.Uncertain(outcome.ReasonIssuerGone))
+	case redeemIssuerRestarted:
+		return resultVerdict(outcome.Uncertain(outcome.ReasonIssuerGone))
 	case redeemExpired:
-		return tell(outcome.Uncertain(outcome.ReasonKeyExpired))
+		return resultVerdict(outcome.Uncertain(outcome.ReasonKeyExpired))
 	}
 	v := l.judge(reply.Record, c.key, time.Now())
 	if v.take {
-		// Only the issuer gives a key away, and it did not.
-		return tell(outcome.Uncertain(outcome.ReasonKeyGivenUp))
+		// Only the issuer can grant the key, and it did not.
+		return resultVerdict(outcome.Uncertain(outcome.ReasonKeyGivenUp))
 	}
 	return v
 }
--- a/ledger/issuer_bench_test.go
+++ b/ledger/issuer_bench_test.go
@@ -10,14 +10,14 @@
 	"github.com/cactusproxy/cactusproxy/internal/standin/store"
 )
 
-// BenchmarkIssuedKey issues and redeems keys at their issuer and stores answers
-// of different sizes; it reports the memory that a spent key takes.
+// BenchmarkIssuedKey issues and redeems keys at their issuer and stores responses
+// of different sizes. It reports the memory used per redeemed key.
 func BenchmarkIssuedKey(b *testing.B) {
 	for _, size := range []int{0, 200} {
 		b.Run(fmt.Sprintf("answer=%d", size), func(b *testing.B) {
 			l := New(Deps{
 				Table: store.New(store.Limits{}), Link: peernet.New().Join("h"), Host: "h", Incarnation: 1,
-				Options: Options{ClusterKeys: [][]byte{[]byte("secret")}, AnswerMemory: 1 << 40},
+				Options: Options{ClusterKeys: [][]byte{[]byte("secret")}, ResponseMemory: 1 << 40},
 			})
 			var before, after runtime.MemStats
 			runtime.GC()
@@ -29,7 +29,7 @@
 				c.BeginAttempt()
 				c.Finish(context.Background(), &Response{Status: 201, Body: make([]byte, size)})
 			}
-			l.runs = newRunLog()
+			l.runLog = newRunLog()
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(b.N), "B/key")
--- a/ledger/keys/issued.go
+++ b/ledger/keys/issued.go
@@ -13,72 +13,72 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// issuedPrefix starts every issued key. A key that starts so and does not
-// check is refused; it is never read as an opaque key.
+// issuedPrefix is the prefix of every issued key. A key with this prefix and an
+// invalid signature is refused; it is never treated as an opaque key.
 const issuedPrefix = "cp1."
 
-// Sizes in bytes of the parts of an issued key before it is put into base64.
+// Sizes in bytes of the parts of an issued key before base64 encoding.
 const (
-	fixedSize = 24
-	sealSize  = 16
-	maxHost   = 64
+	fixedSize     = 24
+	macSize       = 16
+	maxHostLength = 64
 )
 
 var encoding = base64.RawURLEncoding.Strict()
 
-// ErrSeal says that an issued key was not made with any of the cluster keys
-// for this workspace, service and caller.
-var ErrSeal = errors.New("idempotency key does not check")
+// ErrInvalidSignature means that an issued key was not signed with any of the
+// cluster keys for this workspace, service and caller.
+var ErrInvalidSignature = errors.New("invalid signature of idempotency key")
 
-// Binding is what an issued key is good for.
+// Binding is the use to which an issued key is restricted.
 type Binding struct {
 	Workspace string
 	Service   string
 	Caller    string
 }
 
-// ID names an issued key over all hosts.
+// ID identifies an issued key across all hosts.
 type ID struct {
 	Issuer      ports.HostID
 	Incarnation uint64
-	// Serial counts the keys of one incarnation.
+	// Serial numbers the keys of one incarnation.
 	Serial uint64
-	// Time is when the key was made, by the issuer's clock, in milliseconds.
+	// Time is the creation time by the issuer's clock, with millisecond precision.
 	Time time.Time
 }
 
-// Sealer makes and checks issued keys.
-type Sealer struct {
+// Signer creates and verifies issued keys.
+type Signer struct {
 	secrets [][]byte
 }
 
-// NewSealer returns a sealer that seals with the first secret and accepts all
-// of them, so that a secret can be replaced without refusing keys in use.
-func NewSealer(secrets ...[]byte) *Sealer {
-	return &Sealer{secrets: secrets}
+// NewSigner returns a signer that signs with the first secret and accepts all of
+// them, so that a secret can be rotated without refusing keys in use.
+func NewSigner(secrets ...[]byte) *Signer {
+	return &Signer{secrets: secrets}
 }
 
-// Enabled reports whether there is a secret to seal with.
-func (s *Sealer) Enabled() bool { return len(s.secrets) > 0 }
+// Enabled reports whether there is a secret to sign with.
+func (s *Signer) Enabled() bool { return len(s.secrets) > 0 }
 
-// Seal returns the text of an issued key, or "" if there is no secret or the
-// issuer's name is too long.
-func (s *Sealer) Seal(b Binding, id ID) string {
-	if !s.Enabled() || len(id.Issuer) > maxHost {
+// Sign returns the text of an issued key, or "" if there is no secret or the
+// issuer's host ID is too long.
+func (s *Signer) Sign(b Binding, id ID) string {
+	if !s.Enabled() || len(id.Issuer) > maxHostLength {
 		return ""
 	}
-	raw := make([]byte, fixedSize, fixedSize+len(id.Issuer)+sealSize)
+	raw := make([]byte, fixedSize, fixedSize+len(id.Issuer)+macSize)
 	binary.BigEndian.PutUint64(raw[0:], uint64(id.Time.UnixMilli()))
 	binary.BigEndian.PutUint64(raw[8:], id.Incarnation)
 	binary.BigEndian.PutUint64(raw[16:], id.Serial)
 	raw = append(raw, id.Issuer...)
-	raw = append(raw, seal(s.secrets[0], b, raw)...)
+	raw = append(raw, computeMAC(s.secrets[0], b, raw)...)
 	return issuedPrefix + encoding.EncodeToString(raw)
 }
 
-// Open checks an issued key against what it is used for. The error is
-// ErrMalformed or ErrSeal.
-func (s *Sealer) Open(b Binding, value string) (ID, error) {
+// Verify checks the signature of an issued key for the given use. The error is
+// ErrMalformed or ErrInvalidSignature.
+func (s *Signer) Verify(b Binding, value string) (ID, error) {
 	text, ok := strings.CutPrefix(value, issuedPrefix)
 	if !ok {
 		return ID{}, errors.Wrap(ErrMalformed, "not an issued key")
@@ -87,12 +87,12 @@
 	if err != nil {
 		return ID{}, errors.Mark(err, ErrMalformed)
 	}
-	end := len(raw) - sealSize
-	if end <= fixedSize || end > fixedSize+maxHost {
-		return ID{}, errors.Wrapf(ErrMalformed, "%d bytes", len(raw))
+	end := len(raw) - macSize
+	if end <= fixedSize || end > fixedSize+maxHostLength {
+		return ID{}, errors.Wrapf(ErrMalformed, "issued key decodes to %d bytes", len(raw))
 	}
-	if !s.checks(b, raw[:end], raw[end:]) {
-		return ID{}, ErrSeal
+	if !s.validMAC(b, raw[:end], raw[end:]) {
+		return ID{}, ErrInvalidSignature
 	}
 	return ID{
 		Issuer:      ports.HostID(raw[fixedSize:end]),
@@ -102,18 +102,18 @@
 	}, nil
 }
 
-func (s *Sealer) checks(b Binding, body, got []byte) bool {
+func (s *Signer) validMAC(b Binding, body, got []byte) bool {
 	for _, secret := range s.secrets {
-		if hmac.Equal(seal(secret, b, body), got) {
+		if hmac.Equal(computeMAC(secret, b, body), got) {
 			return true
 		}
 	}
 	return false
 }
 
-// seal authenticates body and binding. Each part is preceded by its length, so
-// that no two bindings give the same input.
-func seal(secret []byte, b Binding, body []byte) []byte {
+// computeMAC authenticates body and binding. Each part of the binding is preceded
+// by its length, so that different bindings never produce the same input.
+func computeMAC(secret []byte, b Binding, body []byte) []byte {
 	mac := hmac.New(sha256.New, secret)
 	for _, part := range []string{b.Workspace, b.Service, b.Caller} {
 		var size [8]byte
@@ -122,5 +122,5 @@
 		mac.Write([]byte(part))
 	}
 	mac.Write(body)
-	return mac.Sum(nil)[:sealSize]
+	return mac.Sum(nil)[:macSize]
 }
--- a/ledger/keys/keys.go
+++ b/ledger/keys/keys.go
@@ -1,5 +1,7 @@
-// Package keys reads the idempotency keys that callers send, and makes and
-// checks the keys that hosts issue.
+// Package keys parses the idempotency keys that callers send, and creates and
+// verifies the keys that hosts issue. An issued key contains its issuer, a serial
+// number and its creation time, and is authenticated by an HMAC that binds it to a
+// workspace, a service and a caller.
 package keys
 
 import (
@@ -11,40 +13,40 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// MaxLength is the longest key in bytes that is accepted.
+// MaxLength is the maximum length of a key in bytes.
 const MaxLength = 255
 
-// Kind says how long a key has to be remembered and by whom.
+// Kind determines how long a key has to be remembered and by whom.
 type Kind uint8
 
 const (
-	// Opaque keys tell nothing of themselves.
+	// Opaque keys carry no information.
 	Opaque Kind = iota + 1
-	// Timed keys carry the time they were made: a UUID of version 7 or a ULID.
+	// Timed keys carry their creation time: UUIDs of version 7 and ULIDs.
 	Timed
-	// Issued keys were made by a host of this system.
+	// Issued keys were created by a host of this cluster.
 	Issued
 )
 
-// Times outside this range are not times: a string that merely looks like a
-// ULID is an opaque key. The range is fixed, so that the same key is read the
+// A time outside this range is not treated as a time: a string that merely looks
+// like a ULID is an opaque key. The range is fixed, so that a key is parsed the
 // same way on every host and at any time.
 var (
-	firstTime = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
-	lastTime  = time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
+	minTime = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+	maxTime = time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// ErrMalformed says that no host can have accepted the key.
+// ErrMalformed means that no host can have accepted the key.
 var ErrMalformed = errors.New("malformed idempotency key")
 
-// Key is a key as far as it can be read without any secret.
+// Key is the part of a key that can be parsed without a secret.
 type Key struct {
 	Kind Kind
-	// Time is when a Timed key was made; zero for other kinds.
+	// Time is the creation time of a Timed key; zero for other kinds.
 	Time time.Time
 }
 
-// Parse reads a key. The error is ErrMalformed.
+// Parse parses a key. The error is ErrMalformed.
 func Parse(value string) (Key, error) {
 	if value == "" || len(value) > MaxLength {
 		return Key{}, errors.Wrapf(ErrMalformed, "length %d", len(value))
@@ -59,7 +61,7 @@
 	if !ok {
 		t, ok = ulidTime(value)
 	}
-	if !ok || t.Before(firstTime) || t.After(lastTime) {
+	if !ok || t.Before(minTime) || t.After(maxTime) {
 		return Key{Kind: Opaque}, nil
 	}
 	return Key{Kind: Timed, Time: t}, nil
@@ -74,14 +76,14 @@
 	return true
 }
 
-// Layout of a UUID in its text form.
+// Layout of the text form of a UUID.
 const (
 	uuidLength     = 36
 	uuidVersionPos = 14
 	uuidVariantPos = 19
 )
 
-// uuidTime returns the time in a UUID of version 7.
+// uuidTime returns the timestamp of a UUID of version 7.
 func uuidTime(s string) (time.Time, bool) {
 	if len(s) != uuidLength || s[8] != '-' || s[13] != '-' || s[18] != '-' || s[23] != '-' {
 		return time.Time{}, false
@@ -100,7 +102,7 @@
 	return time.UnixMilli(ms).UTC(), true
 }
 
-// ulidTime returns the time in a ULID.
+// ulidTime returns the timestamp of a ULID.
 func ulidTime(s string) (time.Time, bool) {
 	id, err := ulid.ParseStrict(s)
 	if err != nil {
--- a/ledger/keys/keys_test.go
+++ b/ledger/keys/keys_test.go
@@ -20,7 +20,7 @@
 		{"019AC927-7E40-7000-8000-000000000001", Timed, made},
 		{"019ac927-7e40-4000-8000-000000000001", Opaque, time.Time{}},
 		{"01KB4JEZJ0ABCDEFGHJKMNPQRS", Timed, made},
-		// Looks like a ULID of the year 3084: an opaque key.
+		// Has the form of a ULID of the year 3084, so it is an opaque key.
 		{"10KB4W0DJ0ABCDEFGHJKMNPQRS", Opaque, time.Time{}},
 		{"order 17", Opaque, time.Time{}},
 		{"cp1.AAAA", Issued, time.Time{}},
@@ -40,10 +40,10 @@
 }
 
 func TestSealBindsKeyToItsUse(t *testing.T) {
-	s := NewSealer([]byte("new"), []byte("old"))
+	s := NewSigner([]byte("new"), []byte("old"))
 	bind := Binding{Workspace: "auction", Service: "bids", Caller: "ana"}
-	value := s.Seal(bind, testID())
-	got, err := s.Open(bind, value)
+	value := s.Sign(bind, testID())
+	got, err := s.Verify(bind, value)
 	assert.NilError(t, err)
 	assert.Equal(t, got, testID())
 	for _, other := range []Binding{
@@ -51,27 +51,27 @@
 		{Workspace: "auction", Service: "bidsana", Caller: ""},
 		{Workspace: "auctionbids", Service: "", Caller: "ana"},
 	} {
-		_, err = s.Open(other, value)
-		assert.Check(t, errors.Is(err, ErrSeal))
+		_, err = s.Verify(other, value)
+		assert.Check(t, errors.Is(err, ErrInvalidSignature))
 	}
-	before := NewSealer([]byte("old")).Seal(bind, testID())
-	_, err = s.Open(bind, before)
+	before := NewSigner([]byte("old")).Sign(bind, testID())
+	_, err = s.Verify(bind, before)
 	assert.NilError(t, err)
-	_, err = NewSealer([]byte("other")).Open(bind, value)
-	assert.Check(t, errors.Is(err, ErrSeal))
+	_, err = NewSigner([]byte("other")).Verify(bind, value)
+	assert.Check(t, errors.Is(err, ErrInvalidSignature))
 }
 
-// FuzzKeys reads keys as a caller may send them. Whatever comes, reading does
-// not fail in other ways than its own, no key but a sealed one opens, and an
-// issued key has one spelling only: two would be redeemed as one, but a target
-// that compares them would take them for two.
+// FuzzKeys checks that any input either parses or fails with one of the documented
+// errors, that only signed keys verify, and that an issued key has exactly one
+// encoding: two encodings would be redeemed as one key, but a target that compares
+// them would treat them as two.
 func FuzzKeys(f *testing.F) {
-	s := NewSealer([]byte("secret"))
+	s := NewSigner([]byte("secret"))
 	bind := Binding{Workspace: "w", Service: "s", Caller: "c"}
-	sealed := s.Seal(bind, testID())
+	signed := s.Sign(bind, testID())
 	for _, seed := range []string{
 		"", "order 17", "019ac927-7e40-7000-8000-000000000001", "01KB4JEZJ0ABCDEFGHJKMNPQRS",
-		"cp1.", "cp1.AAAA", sealed, sealed + "A", sealed[:len(sealed)-1], strings.ToLower(sealed),
+		"cp1.", "cp1.AAAA", signed, signed + "A", signed[:len(signed)-1], strings.ToLower(signed),
 	} {
 		f.Add(seed)
 	}
@@ -84,11 +84,11 @@
 		assert.Equal(t, k.Kind == Timed, !k.Time.IsZero())
 		again, err := Parse(value)
 		assert.Check(t, err == nil && again == k)
-		id, err := s.Open(bind, value)
+		id, err := s.Verify(bind, value)
 		if err != nil {
-			assert.Check(t, errors.Is(err, ErrMalformed) || errors.Is(err, ErrSeal))
+			assert.Check(t, errors.Is(err, ErrMalformed) || errors.Is(err, ErrInvalidSignature))
 			return
 		}
-		assert.Equal(t, s.Seal(bind, id), value)
+		assert.Equal(t, s.Sign(bind, id), value)
 	})
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,9 +1,13 @@
-// Package ledger makes sure that a call with an idempotency key runs at most
-// once over all hosts, and says what can be shown about it. A call is sent only
-// by the holder of the key's claim. Claims are rows of the platform's table or,
-// for keys that a host issued itself, entries in that host's memory. A claim is
-// never taken from its holder, however long the holder is silent, so nothing
-// hangs on a lease or on clocks that agree.
+// Package ledger guarantees that a call with an idempotency key runs at most once
+// across all hosts, and reports what can be proven about its outcome.
+//
+// Before a host sends such a call to a target, it must acquire the claim of the
+// key. Claims of keys chosen by callers are rows in the platform's table; claims of
+// keys issued by a host are entries in that host's memory. The holder ends its
+// claim with the response, with a proof that nothing was sent (not-run), or as
+// undecided; later requests with the same key are answered from that record. A
+// claim is never taken from its holder, however long the holder is silent, so
+// correctness depends neither on leases nor on synchronized clocks.
 package ledger
 
 import (
@@ -28,68 +32,69 @@
 // Digest identifies a request by its method, path and body.
 type Digest [16]byte
 
-// Key is an idempotency key with what it is used for.
+// Key is the idempotency key of a request, together with what it applies to.
 type Key struct {
 	Workspace string
 	Service   string
-	// Caller is who asks. Only a digest of it is kept.
+	// Caller identifies the caller. Only a digest of it is stored.
 	Caller string
-	// Value is the key as the caller sent it.
+	// Value is the key as received from the caller.
 	Value  string
 	Digest Digest
-	// DigestKnown is false if the body was too large to be read beforehand. No
-	// stored answer is given for such a request.
+	// DigestKnown is false if the body was too large to be buffered and hashed
+	// before sending. Such a request never gets a stored response.
 	DigestKnown bool
-	// Arrived is when the call reached this host; zero means now.
+	// Arrived is when the request reached this host; zero means now.
 	Arrived time.Time
 }
 
-// Response is a target's whole answer.
+// Response is a target's complete response.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Deps is what a ledger works with. Metrics and Log may be nil.
+// Deps are the dependencies of a Ledger. Metrics and Log may be nil.
 type Deps struct {
 	Table ports.Table
 	Link  peer.Link
 	Host  ports.HostID
-	// Incarnation differs between any two runs of a daemon on a host.
+	// Incarnation is unique to each run of the daemon on a host.
 	Incarnation uint64
 	Metrics     *metrics.Set
 	Log         *zap.Logger
-	// Coordinator returns the host that commits the writes of all hosts, by this
-	// host's present view; nil has each host write for itself. Hosts may disagree.
+	// Coordinator returns the host that commits the writes of all hosts, as
+	// currently known to this host. Hosts may disagree. If nil, each host commits
+	// its own writes.
 	Coordinator func() ports.HostID
 	Options     Options
 }
 
-// Ledger holds the claims of one host. It is safe for concurrent use.
+// Ledger manages the claims of one host. It is safe for concurrent use.
 type Ledger struct {
 	host        ports.HostID
 	incarnation uint64
 	opts        Options
 	log         *zap.Logger
 	counts      *expvar.Map
-	sealer      *keys.Sealer
+	signer      *keys.Signer
 	writer      *batch.Writer
 	pool        *pool
 	table       *tableStore
 	issuer      *issuer
 	remote      *remoteStore
-	runs        *runLog
+	runLog      *runLog
 	serial      atomic.Uint64
-	// waiting is the size in bytes of the answers not written down yet.
-	waiting atomic.Int64
+	// pendingBytes is the total size of the responses that are not persisted yet.
+	pendingBytes atomic.Int64
 
 	mu     sync.Mutex
 	active map[string]*Claim
 }
 
-// New returns a ledger and registers its handlers with the link, which must
-// not serve yet. Claims are made while Run runs.
+// New returns a ledger and registers its handlers with the link, which must not be
+// serving yet. Begin works only while Run is running.
 func New(d Deps) *Ledger {
 	if d.Metrics == nil {
 		d.Metrics = metrics.New()
@@ -104,12 +109,13 @@
 		opts:        opts,
 		log:         d.Log,
 		counts:      d.Metrics.Map("ledger"),
-		sealer:      keys.NewSealer(opts.ClusterKeys...),
-		runs:        newRunLog(),
+		signer:      keys.NewSigner(opts.ClusterKeys...),
+		runLog:      newRunLog(),
 		active:      make(map[string]*Claim),
 	}
 	l.pool = newPool(l, d)
-	l.writer = batch.NewWriter(d.Table, batch.Config{Rate: opts.WriteRate, Forward: l.pool, Count: l.counts.Add})
+	l.writer = batch.NewWriter(d.Table,
+		batch.Config{Rate: opts.WriteRate, Forward: l.pool, Count: l.counts.Add})
 	l.pool.serve(d.Link)
 	l.table = &tableStore{l: l, table: d.Table}
 	l.issuer = newIssuer(l)
@@ -119,7 +125,8 @@
 	return l
 }
 
-// Run works until ctx ends. It returns nil.
+// Run commits writes, sweeps expired rows and serves issued keys until ctx ends. It
+// always returns nil.
 func (l *Ledger) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return l.writer.Run(ctx) })
@@ -130,12 +137,12 @@
 	return g.Wait()
 }
 
-// SetWriteRate replaces this host's share of the table's transactions a second.
+// SetWriteRate sets this host's share of the table's transactions per second.
 func (l *Ledger) SetWriteRate(perSecond float64) { l.pool.setRate(perSecond) }
 
-// Drain waits until what became of every claim of this host is written down,
-// or until ctx ends; it reports whether nothing is left. A stop that does not
-// drain loses no safety, only answers that later sends would have got.
+// Drain waits until the end of every claim of this host is persisted, or until ctx
+// ends, and reports whether nothing is left. Stopping without draining is safe; it
+// only loses responses that later requests with the same key would have received.
 func (l *Ledger) Drain(ctx context.Context) bool {
 	tick := time.NewTicker(drainPoll)
 	defer tick.Stop()
@@ -160,41 +167,40 @@
 	return n + l.writer.Backlog()
 }
 
-// Issue returns a new key of this host for one call, or "" if there is no
-// cluster key. The key dies with this incarnation of the host.
+// Issue returns a new key for one call, or "" if no cluster key is configured. The
+// key is invalid once this incarnation of the host ends.
 func (l *Ledger) Issue(workspace, service, caller string) string {
 	b := keys.Binding{Workspace: workspace, Service: service, Caller: caller}
 	return l.issuer.issue(b)
 }
 
-// Begin returns exactly one of: a claim, whose holder may send; a stored answer;
-// or what to tell the caller.
+// Begin returns exactly one of: a claim, whose holder may send the request; a
+// stored response; or the result to report to the caller.
 func (l *Ledger) Begin(ctx context.Context, k Key) (*Claim, *Response, outcome.Result) {
 	if k.Arrived.IsZero() {
 		k.Arrived = time.Now()
 	}
-	c, refusal := l.open(k)
+	c, refusal := l.newClaim(k)
 	if c == nil {
-		return nil, nil, l.told(refusal)
+		return nil, nil, l.countResult(refusal)
 	}
-	if other := l.admit(c); other != nil {
-		return l.answer(l.judgeActive(other, k))
+	if other := l.addActive(c); other != nil {
+		return l.resolve(l.judgeActive(other, k))
 	}
 	v := c.store.take(ctx, c)
 	if !v.take {
-		return l.answer(v)
+		return l.resolve(v)
 	}
-	c.own(phaseHeld)
+	c.markOwned(phaseHeld)
 	l.counts.Add("claims_held", 1)
 	return c, nil, outcome.Result{}
 }
 
-// judgeActive says what a claim of this host that has not ended yet means for
-// another send of its key.
+// judgeActive decides on a request whose key has an active claim on this host.
 //
-// A claim may be given up without having been held: the reply that would have
-// said so was lost. Such a claim says nothing of the key, which another claim
-// may hold, so its word that nothing was sent must not become a not-run.
+// A claim may have been given up without ever being confirmed, because the reply
+// with the confirmation was lost. Another claim may hold the key then, so the state
+// "nothing was sent" of this claim must not be reported as not-run.
 func (l *Ledger) judgeActive(other *Claim, k Key) verdict {
 	r, owned := other.record(), other.isOwned()
 	if !owned {
@@ -202,65 +208,67 @@
 	}
 	v := l.judge(r, k, time.Now())
 	if v.take {
-		return tell(outcome.Uncertain(outcome.ReasonKeyInProgress))
+		return resultVerdict(outcome.Uncertain(outcome.ReasonKeyInProgress))
 	}
 	return v
 }
 
-func (l *Ledger) answer(v verdict) (*Claim, *Response, outcome.Result) {
-	if v.answer != nil {
+func (l *Ledger) resolve(v verdict) (*Claim, *Response, outcome.Result) {
+	if v.response != nil {
 		l.counts.Add("stored_answers", 1)
-		return nil, v.answer, outcome.Result{Outcome: outcome.Answered, Reason: outcome.ReasonStored}
+		return nil, v.response, outcome.Result{Outcome: outcome.Answered, Reason: outcome.ReasonStored}
 	}
-	return nil, nil, l.told(v.result)
+	return nil, nil, l.countResult(v.result)
 }
 
-func (l *Ledger) told(r outcome.Result) outcome.Result {
+func (l *Ledger) countResult(r outcome.Result) outcome.Result {
 	l.counts.Add("told_"+string(r.Reason), 1)
 	return r
 }
 
-// open reads the key and returns a claim that nobody holds yet, or a refusal.
+// newClaim parses the key and returns an unconfirmed claim, or the result to
+// report.
 //
-// A refusal is unknown unless every host must refuse the key at all times: a
-// key that is too old now may have run when it was new, and one that does not
-// check here may check on a host that already has the next cluster key.
-func (l *Ledger) open(k Key) (*Claim, outcome.Result) {
+// A key is refused as not-run only if every host must refuse it at all times.
+// Otherwise the result is unknown: a key that has expired by now may have run
+// earlier, and a key whose signature is invalid here may be valid on a host that
+// already has the next cluster key.
+func (l *Ledger) newClaim(k Key) (*Claim, outcome.Result) {
 	parsed, err := keys.Parse(k.Value)
 	if err != nil {
 		return nil, outcome.Refuse(outcome.ReasonKeyMalformed)
 	}
-	c := &Claim{l: l, key: k, id: l.newClaimID(), state: stateClaimed, made: time.Now().Round(0)}
-	c.stamp = c.made
+	c := &Claim{l: l, key: k, id: l.newClaimID(), state: stateClaimed, createdAt: time.Now().Round(0)}
+	c.stamp = c.createdAt
 	switch parsed.Kind {
 	case keys.Issued:
-		return l.openIssued(c)
+		return l.newIssuedClaim(c)
 	case keys.Timed:
 		age := time.Since(parsed.Time)
 		if age > l.opts.Retention {
 			return nil, outcome.Uncertain(outcome.ReasonKeyExpired)
 		}
-		if age < -clockSlack {
+		if age < -clockTolerance {
 			return nil, outcome.Uncertain(outcome.ReasonKeyMalformed)
 		}
 	}
 	c.row = rowName(k, parsed)
-	c.maxHold = l.opts.hold(parsed.Kind)
-	c.retention = l.opts.remember(parsed.Kind)
+	c.maxHold = l.opts.maxHold(parsed.Kind)
+	c.retention = l.opts.keyRetention(parsed.Kind)
 	c.store = l.table
 	return c, outcome.Result{}
 }
 
-func (l *Ledger) openIssued(c *Claim) (*Claim, outcome.Result) {
+func (l *Ledger) newIssuedClaim(c *Claim) (*Claim, outcome.Result) {
 	b := keys.Binding{Workspace: c.key.Workspace, Service: c.key.Service, Caller: c.key.Caller}
-	id, err := l.sealer.Open(b, c.key.Value)
+	id, err := l.signer.Verify(b, c.key.Value)
 	if err != nil {
 		return nil, outcome.Uncertain(outcome.ReasonKeyMalformed)
 	}
 	c.issued = id
 	c.row = issuedName(id)
 	c.maxHold = l.opts.IssuedWindow
-	c.retention = l.opts.remember(keys.Issued)
+	c.retention = l.opts.keyRetention(keys.Issued)
 	c.store = l.remote
 	if id.Issuer == l.host {
 		c.store = l.issuer
@@ -272,8 +280,9 @@
 	return claimID{Host: l.host, Incarnation: l.incarnation, Serial: l.serial.Add(1)}
 }
 
-// admit makes c this host's only claim for its key, or returns the one that is.
-func (l *Ledger) admit(c *Claim) *Claim {
+// addActive makes c the only active claim of its key on this host, or returns the
+// one that already is.
+func (l *Ledger) addActive(c *Claim) *Claim {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if other := l.active[c.row]; other != nil {
@@ -283,8 +292,8 @@
 	return nil
 }
 
-// forget ends a claim that is written down, or that was never made.
-func (l *Ledger) forget(c *Claim) {
+// removeActive removes a claim that is persisted or was never acquired.
+func (l *Ledger) removeActive(c *Claim) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.active[c.row] == c {
--- a/ledger/messages.go
+++ b/ledger/messages.go
@@ -15,12 +15,12 @@
 	kindPool
 )
 
-// issuedID names a key to its issuer. The seal was checked by the host that
-// asks: it knows the caller, and hosts trust each other.
+// issuedID identifies a key to its issuer. The signature has already been verified
+// by the requesting host, which knows the caller; hosts trust each other.
 type issuedID struct {
 	Incarnation uint64 `msgpack:"i"`
 	Serial      uint64 `msgpack:"n"`
-	// Time is when the key was made, in milliseconds of Unix time.
+	// Time is the creation time of the key in Unix milliseconds.
 	Time int64 `msgpack:"t"`
 }
 
@@ -28,14 +28,13 @@
 	return issuedID{Incarnation: id.Incarnation, Serial: id.Serial, Time: id.Time.UnixMilli()}
 }
 
-// redeemRequest asks the issuer for the claim to a key.
+// redeemRequest asks the issuer of a key for its claim.
 type redeemRequest struct {
 	ID          issuedID `msgpack:"k"`
 	Claim       claimID  `msgpack:"c"`
 	Digest      Digest   `msgpack:"d"`
 	DigestKnown bool     `msgpack:"dk"`
-	// Arrived is when the call reached the host that asks, in nanoseconds of
-	// Unix time.
+	// Arrived is when the request reached the requesting host, in Unix nanoseconds.
 	Arrived int64 `msgpack:"a"`
 }
 
@@ -49,22 +48,22 @@
 	}
 }
 
-// key is the part of the asking send's key that is judged.
+// key returns the fields of the request's key that judge needs.
 func (r redeemRequest) key() Key {
 	return Key{Digest: r.Digest, DigestKnown: r.DigestKnown, Arrived: time.Unix(0, r.Arrived)}
 }
 
-// redeemStatus is the issuer's decision.
+// redeemStatus is the issuer's decision on a redeemRequest.
 type redeemStatus uint8
 
 const (
-	// redeemHeld: the claim that asked holds the key.
-	redeemHeld redeemStatus = iota + 1
-	// redeemTold: another claim had the key; the record says what became of it.
-	redeemTold
-	// redeemGone: the key is of an earlier incarnation.
-	redeemGone
-	// redeemExpired: the key is past its window.
+	// redeemGranted: the requesting claim holds the key.
+	redeemGranted redeemStatus = iota + 1
+	// redeemTaken: another claim has the key; the reply's record has its state.
+	redeemTaken
+	// redeemIssuerRestarted: the key was issued by an earlier incarnation.
+	redeemIssuerRestarted
+	// redeemExpired: the key is older than IssuedWindow.
 	redeemExpired
 )
 
@@ -73,22 +72,23 @@
 	Record record       `msgpack:"r"`
 }
 
-// settleRequest tells the issuer what became of a claim.
+// settleRequest reports the end of a claim to the issuer.
 type settleRequest struct {
 	ID     issuedID `msgpack:"k"`
 	Record record   `msgpack:"r"`
 }
 
-// settleReply says that the issuer has noted it, or never will.
+// settleReply confirms that the issuer has recorded the end of the claim, or that
+// it never will and need not be asked again.
 type settleReply struct{}
 
-// serve registers the handlers of the issuer.
+// serve registers the issuer's message handlers.
 func (b *issuer) serve(link peer.Link) {
 	peer.Handle(link, kindRedeem, func(_ context.Context, _ peer.HostID, req redeemRequest) (redeemReply, error) {
 		b.l.counts.Add("redeemed_for_peers", 1)
 		return b.redeem(req), nil
 	})
 	peer.Handle(link, kindSettle, func(_ context.Context, _ peer.HostID, req settleRequest) (settleReply, error) {
-		return b.record(req), nil
+		return b.recordEnd(req), nil
 	})
 }
--- a/ledger/options.go
+++ b/ledger/options.go
@@ -7,56 +7,59 @@
 	"github.com/cactusproxy/cactusproxy/ledger/keys"
 )
 
-// Options are the operator's settings of a ledger. Zero fields get defaults.
+// Options are the operator's settings of a Ledger. Zero fields take their defaults.
 type Options struct {
-	// ClusterKeys authenticate issued keys: the first makes them, all are
-	// accepted. They are the same on all hosts. Without any, none are issued.
+	// ClusterKeys are the secrets that authenticate issued keys: the first one
+	// signs, all are accepted. They must be the same on all hosts. Without any, no
+	// keys are issued.
 	ClusterKeys [][]byte
-	// WriteRate is this host's share of the table's transactions a second.
+	// WriteRate is this host's share of the table's transactions per second.
 	WriteRate float64
-	// PoolRate is the share of the table's transactions a second that the
-	// coordinator has on top of its own, to commit the writes of all hosts
-	// together. Zero has each host write for itself.
+	// PoolRate is the number of transactions per second that the coordinator may
+	// make in addition to its own share, to commit the writes of all hosts
+	// together. If zero, each host commits its own writes.
 	PoolRate float64
-	// Retention is how old a key that carries its time may be.
+	// Retention is the maximum age of a key that carries its creation time.
 	Retention time.Duration
-	// OpaqueRetention is how long a key that carries no time is remembered. A
-	// key sent again after that runs again. Zero remembers it for good.
+	// OpaqueRetention is how long a key without a creation time is remembered. The
+	// key runs again if it is sent after that. Zero means forever.
 	OpaqueRetention time.Duration
-	// IssuedWindow is how old an issued key may be.
+	// IssuedWindow is the maximum age of an issued key.
 	IssuedWindow time.Duration
-	// MaxAnswer is the largest answer in bytes that is stored.
-	MaxAnswer int
-	// AnswerMemory bounds the answers in bytes kept in memory: those to issued
-	// keys, and those that wait for the table.
-	AnswerMemory int
-	// ReopenAfter is how long after a claim was given up another send may take
-	// it. Half of it bounds how far the hosts' clocks may differ; see reopening.
-	ReopenAfter time.Duration
-	// IssuerPatience is how long a call waits for the host that issued its key.
-	IssuerPatience time.Duration
-	// SweepEvery is the time between two transactions that delete expired rows;
-	// negative deletes none.
-	SweepEvery time.Duration
+	// MaxResponseSize is the size in bytes of the largest response that is stored.
+	MaxResponseSize int
+	// ResponseMemory limits the bytes of responses in memory, separately for
+	// responses to issued keys and for responses waiting to be written to the
+	// table.
+	ResponseMemory int
+	// ReclaimDelay is how long after a claim was given up another request may
+	// acquire the key. Half of it is the clock difference between hosts that is
+	// tolerated; see judgeGivenUp.
+	ReclaimDelay time.Duration
+	// IssuerTimeout is how long a call waits for the host that issued its key.
+	IssuerTimeout time.Duration
+	// SweepInterval is the mean time between two sweep steps, each of which deletes
+	// expired rows in at most one transaction. A negative value disables sweeping.
+	SweepInterval time.Duration
 }
 
 // Defaults of Options.
 const (
-	DefaultRetention      = 24 * time.Hour
-	DefaultIssuedWindow   = 15 * time.Minute
-	DefaultMaxAnswer      = 16 << 10
-	DefaultAnswerMemory   = 64 << 20
-	DefaultReopenAfter    = 800 * time.Millisecond
-	DefaultIssuerPatience = 2 * time.Second
-	DefaultSweepEvery     = 10 * time.Second
+	DefaultRetention       = 24 * time.Hour
+	DefaultIssuedWindow    = 15 * time.Minute
+	DefaultMaxResponseSize = 16 << 10
+	DefaultResponseMemory  = 64 << 20
+	DefaultReclaimDelay    = 800 * time.Millisecond
+	DefaultIssuerTimeout   = 2 * time.Second
+	DefaultSweepInterval   = 10 * time.Second
 )
 
-// clockSlack bounds how far a key's time may lie in the future, and is added to
-// the retention before a row is deleted.
-const clockSlack = 10 * time.Minute
+// clockTolerance is how far in the future a key's creation time may lie. It is also
+// added to the retention before a row is deleted.
+const clockTolerance = 10 * time.Minute
 
-// forever stands in for no limit of time.
-const forever = 100 * 365 * 24 * time.Hour
+// unlimited is the duration used where there is no time limit.
+const unlimited = 100 * 365 * 24 * time.Hour
 
 func (o Options) withDefaults() Options {
 	if o.WriteRate <= 0 {
@@ -64,13 +67,13 @@
 	}
 	setDefault(&o.Retention, DefaultRetention)
 	setDefault(&o.IssuedWindow, DefaultIssuedWindow)
-	setDefault(&o.ReopenAfter, DefaultReopenAfter)
-	setDefault(&o.IssuerPatience, DefaultIssuerPatience)
-	if o.SweepEvery == 0 {
-		o.SweepEvery = DefaultSweepEvery
+	setDefault(&o.ReclaimDelay, DefaultReclaimDelay)
+	setDefault(&o.IssuerTimeout, DefaultIssuerTimeout)
+	if o.SweepInterval == 0 {
+		o.SweepInterval = DefaultSweepInterval
 	}
-	setDefault(&o.MaxAnswer, DefaultMaxAnswer)
-	setDefault(&o.AnswerMemory, DefaultAnswerMemory)
+	setDefault(&o.MaxResponseSize, DefaultMaxResponseSize)
+	setDefault(&o.ResponseMemory, DefaultResponseMemory)
 	return o
 }
 
@@ -80,26 +83,27 @@
 	}
 }
 
-// tellWithin is how long after the stamp of a mark not-run may be told.
-func (o Options) tellWithin() time.Duration { return o.ReopenAfter / 2 }
+// notRunWindow is how long after a claim was given up not-run may still be
+// reported.
+func (o Options) notRunWindow() time.Duration { return o.ReclaimDelay / 2 }
 
-// remember is how long a key can not run a second time. A key that carries its
-// time, or its issuer's, is refused for good after its window.
-func (o Options) remember(k keys.Kind) time.Duration {
+// keyRetention is how long a key is guaranteed not to run a second time. Timed and
+// issued keys are refused forever once they have expired.
+func (o Options) keyRetention(k keys.Kind) time.Duration {
 	if k == keys.Opaque && o.OpaqueRetention > 0 {
 		return o.OpaqueRetention
 	}
-	return forever
+	return unlimited
 }
 
-// hold is how long after it was made a claim may still be sent. It ends long
-// before the row is deleted and the key could be claimed anew.
-func (o Options) hold(k keys.Kind) time.Duration {
+// maxHold is how long after its creation a claim may still be used to send. It ends
+// long before the row is deleted and the key could be claimed again.
+func (o Options) maxHold(k keys.Kind) time.Duration {
 	if k == keys.Timed {
 		return o.Retention / 2
 	}
 	if o.OpaqueRetention <= 0 {
-		return forever
+		return unlimited
 	}
 	return o.OpaqueRetention / 2
 }
--- a/ledger/pool.go
+++ b/ledger/pool.go
@@ -11,11 +11,12 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// pool lets one host, the coordinator, commit the writes of all. A host by
-// itself has a small share of the table's transactions and waits long for its
-// turn; together their shares make a turn every few milliseconds. The
-// coordinator is no authority: the table's conditions decide on each write,
-// whoever commits it, so two coordinators do no harm but to the limit.
+// pool lets one host, the coordinator, commit the writes of all hosts. A single
+// host has a small share of the table's transactions and waits long between two of
+// them; the shares together allow a transaction every few milliseconds. The
+// coordinator is not an authority: the condition of each write decides whether it
+// is applied, whoever commits it, so two coordinators at once can only exceed the
+// rate limit.
 type pool struct {
 	l           *Ledger
 	link        peer.Link
@@ -31,17 +32,19 @@
 	return &pool{l: l, link: d.Link, coordinator: d.Coordinator, rate: l.opts.WriteRate}
 }
 
-// poolCheck is how often a host looks whether it is the coordinator.
-const poolCheck = time.Second
+// coordinatorCheckInterval is how often a host checks whether it is the
+// coordinator.
+const coordinatorCheckInterval = time.Second
 
-// run gives the writer the coordinator's rate while this host is that.
+// run applies the coordinator's rate to the writer while this host is the
+// coordinator.
 func (p *pool) run(ctx context.Context) error {
 	if !p.enabled() {
 		return nil
 	}
-	p.apply()
-	for ctxtime.Sleep(ctx, poolCheck) {
-		p.apply()
+	p.applyRate()
+	for ctxtime.Sleep(ctx, coordinatorCheckInterval) {
+		p.applyRate()
 	}
 	return nil
 }
@@ -54,10 +57,10 @@
 	p.mu.Lock()
 	p.rate = perSecond
 	p.mu.Unlock()
-	p.apply()
+	p.applyRate()
 }
 
-func (p *pool) apply() {
+func (p *pool) applyRate() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	rate := p.rate
@@ -67,7 +70,7 @@
 	p.l.writer.SetRate(rate)
 }
 
-// poolWrite is a write on its way to the coordinator.
+// poolWrite is a write forwarded to the coordinator.
 type poolWrite struct {
 	Class   batch.Class  `msgpack:"c"`
 	Kind    ports.OpKind `msgpack:"o"`
@@ -81,12 +84,13 @@
 }
 
 type poolReply struct {
-	// Refused says that the host does not take itself for the coordinator.
+	// Refused is set if the receiving host does not consider itself the
+	// coordinator.
 	Refused bool          `msgpack:"x,omitempty"`
 	Replies []batch.Reply `msgpack:"r"`
 }
 
-// Ready reports whether another host commits this one's writes.
+// Ready reports whether another host commits this host's writes.
 func (p *pool) Ready() bool {
 	if !p.enabled() {
 		return false
@@ -95,7 +99,7 @@
 	return host != "" && host != p.l.host
 }
 
-// Forward hands writes to the coordinator.
+// Forward sends writes to the coordinator.
 func (p *pool) Forward(ctx context.Context, writes []batch.Write) ([]batch.Reply, error) {
 	var req poolRequest
 	for _, w := range writes {
@@ -109,13 +113,13 @@
 	}
 	if reply.Refused {
 		p.l.counts.Add("pool_refused", 1)
-		return refuseAll(len(writes)), nil
+		return notWrittenReplies(len(writes)), nil
 	}
 	p.l.counts.Add("writes_pooled", int64(len(writes)))
 	return reply.Replies, nil
 }
 
-func refuseAll(n int) []batch.Reply {
+func notWrittenReplies(n int) []batch.Reply {
 	replies := make([]batch.Reply, n)
 	for i := range replies {
 		replies[i].Status = batch.NotWritten
@@ -123,17 +127,18 @@
 	return replies
 }
 
-// poolPatience is how long the coordinator tries; it ends before the host that
-// asked goes to the table by itself.
-const poolPatience = 200 * time.Millisecond
+// poolTimeout limits how long the coordinator tries to commit forwarded writes. It
+// is shorter than the forwarding host's timeout, after which that host writes to
+// the table itself.
+const poolTimeout = 200 * time.Millisecond
 
-// serve registers the handler of the coordinator.
+// serve registers the coordinator's message handler.
 func (p *pool) serve(link peer.Link) {
 	peer.Handle(link, kindPool, func(ctx context.Context, _ peer.HostID, req poolRequest) (poolReply, error) {
 		if !p.isCoordinator() {
 			return poolReply{Refused: true}, nil
 		}
-		ctx, cancel := context.WithTimeout(ctx, poolPatience)
+		ctx, cancel := context.WithTimeout(ctx, poolTimeout)
 		defer cancel()
 		return poolReply{Replies: p.l.writer.DoAll(ctx, req.writes())}, nil
 	})
--- a/ledger/pool_test.go
+++ b/ledger/pool_test.go
@@ -11,68 +11,68 @@
 	"github.com/cactusproxy/cactusproxy/outcome"
 )
 
-// pooled gives hosts next to no share of their own.
-var pooled = Options{WriteRate: 1, PoolRate: 100}
+// pooledOptions gives hosts almost no rate of their own.
+var pooledOptions = Options{WriteRate: 1, PoolRate: 100}
 
-// burst sends calls to a host one after the other, and returns the longest time
-// that one took.
-func (w *world) burst(t *testing.T, host, n int) time.Duration {
+// sendMany sends n calls to a host one after the other, and returns the longest
+// duration of a call.
+func (cl *cluster) sendMany(t *testing.T, host, n int) time.Duration {
 	t.Helper()
 	var longest time.Duration
 	for i := range n {
 		k := key(fmt.Sprintf("%d-%d-%v", host, i, time.Now().UnixNano()))
 		began := time.Now()
-		_, r := w.send(t, host, k)
-		result(t, r, outcome.Answered, outcome.ReasonOK)
+		_, r := cl.send(t, host, k)
+		checkResult(t, r, outcome.Answered, outcome.ReasonOK)
 		longest = max(longest, time.Since(began))
-		assert.Equal(t, len(w.target.runsOf(k.Value)), 1)
+		assert.Equal(t, len(cl.target.runsOf(k.Value)), 1)
 	}
 	return longest
 }
 
-// A host has used up its share. Its claims go through the coordinator, and none
-// waits for the host's next turn, a second away.
+// A host has used up its own rate. Its claims go through the coordinator and do not
+// wait for the host's next transaction, a second away.
 func TestClaimsGoThroughTheCoordinator(t *testing.T) {
-	inWorld(t, 3, pooled, func(t *testing.T, w *world) {
-		assert.Check(t, w.burst(t, 1, 50) < 50*time.Millisecond)
-		assert.Check(t, w.hosts[1].count("writes_pooled") > 40)
+	withCluster(t, 3, pooledOptions, func(t *testing.T, cl *cluster) {
+		assert.Check(t, cl.sendMany(t, 1, 50) < 50*time.Millisecond)
+		assert.Check(t, cl.hosts[1].count("writes_pooled") > 40)
 	})
 }
 
-// The coordinator commits a claim, but its reply is lost. The host makes the
-// same claim in the table, meets its own, and sends once.
+// The coordinator commits a claim, but its reply is lost. The host repeats the
+// claim directly in the table, finds its own value, and sends once.
 func TestLostReplyOfTheCoordinator(t *testing.T) {
-	inWorld(t, 3, pooled, func(t *testing.T, w *world) {
-		w.burst(t, 1, 5)
-		w.net.Cut(w.hosts[0].id, w.hosts[1].id)
-		assert.Check(t, w.burst(t, 1, 1) < 2*time.Second)
-		assert.Check(t, w.hosts[1].count("forwards_failed") > 0)
+	withCluster(t, 3, pooledOptions, func(t *testing.T, cl *cluster) {
+		cl.sendMany(t, 1, 5)
+		cl.net.Cut(cl.hosts[0].id, cl.hosts[1].id)
+		assert.Check(t, cl.sendMany(t, 1, 1) < 2*time.Second)
+		assert.Check(t, cl.hosts[1].count("forwards_failed") > 0)
 	})
 }
 
-// Hosts take each other for the coordinator, so that each refuses. Claims are
-// made by each host for itself.
+// Two hosts each consider the other one the coordinator, so both refuse forwarded
+// writes. Each host then makes its own claims.
 func TestHostsThatDisagreeOnTheCoordinator(t *testing.T) {
-	inWorld(t, 2, pooled, func(t *testing.T, w *world) {
-		w.hosts[0].view.Store(1)
-		w.hosts[1].view.Store(0)
-		w.burst(t, 0, 4)
-		w.burst(t, 1, 4)
-		assert.Check(t, w.hosts[0].count("pool_refused") > 0)
+	withCluster(t, 2, pooledOptions, func(t *testing.T, cl *cluster) {
+		cl.hosts[0].view.Store(1)
+		cl.hosts[1].view.Store(0)
+		cl.sendMany(t, 0, 4)
+		cl.sendMany(t, 1, 4)
+		assert.Check(t, cl.hosts[0].count("pool_refused") > 0)
 	})
 }
 
-// The store is down at the coordinator too. The caller is told so at its
-// deadline, and its key is not held by anybody when the store is back.
+// The store is down for the coordinator too. The caller is told unknown at its
+// deadline, and the key is free when the store is back.
 func TestCoordinatorWithoutAStore(t *testing.T) {
-	inWorld(t, 2, pooled, func(t *testing.T, w *world) {
-		w.burst(t, 1, 5)
-		w.store.SetFaults(store.Faults{Down: true})
-		_, r := w.send(t, 1, key("k"))
+	withCluster(t, 2, pooledOptions, func(t *testing.T, cl *cluster) {
+		cl.sendMany(t, 1, 5)
+		cl.store.SetFaults(store.Faults{Down: true})
+		_, r := cl.send(t, 1, key("k"))
 		assert.Equal(t, r.Outcome, outcome.Unknown)
-		w.store.SetFaults(store.Faults{})
+		cl.store.SetFaults(store.Faults{})
 		time.Sleep(5 * time.Second)
-		_, r = w.send(t, 0, key("k"))
-		result(t, r, outcome.Answered, outcome.ReasonOK)
+		_, r = cl.send(t, 0, key("k"))
+		checkResult(t, r, outcome.Answered, outcome.ReasonOK)
 	})
 }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -15,21 +15,22 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// state is how far a claim has come.
+// state is the state of a claim.
 type state uint8
 
 const (
-	// stateClaimed: the holder may send, or has sent and waits.
+	// stateClaimed: the holder may send the request, or has sent it and awaits the
+	// response.
 	stateClaimed state = iota + 1
-	// stateGivenUp: the holder sent nothing and never will.
+	// stateGivenUp: the holder has sent nothing and never will.
 	stateGivenUp
-	// stateDone: the whole answer came.
+	// stateDone: the complete response was received.
 	stateDone
-	// stateUndecided: the request may have run; no answer will come.
+	// stateUndecided: the request may have run, and no response will be recorded.
 	stateUndecided
 )
 
-// claimID is unique over all hosts and times.
+// claimID is unique across all hosts and incarnations.
 type claimID struct {
 	Host        ports.HostID `msgpack:"h"`
 	Incarnation uint64       `msgpack:"i"`
@@ -40,19 +41,19 @@
 	return fmt.Sprintf("%s/%d/%d", id.Host, id.Incarnation, id.Serial)
 }
 
-// record is what is known of a key: the value of its row, or the issuer's word.
+// record is the state of a key: the value of its row, or the issuer's reply.
 type record struct {
 	State state   `msgpack:"s"`
 	Claim claimID `msgpack:"c"`
-	// Caller is a digest of who asked; empty for issued keys, which are bound to
-	// their caller by their seal.
+	// Caller is a digest of the caller. It is empty for issued keys, whose
+	// signature binds them to the caller.
 	Caller      []byte `msgpack:"w,omitempty"`
 	Digest      Digest `msgpack:"d"`
 	DigestKnown bool   `msgpack:"k"`
-	// Stamp is when the claim was made or last changed, by the holder's clock,
-	// in nanoseconds of Unix time.
+	// Stamp is when the claim was created or last changed, in Unix nanoseconds by
+	// the holder's clock.
 	Stamp int64 `msgpack:"t"`
-	// Kept is false if the answer was not stored.
+	// Kept is true if the response is stored in this record.
 	Kept   bool        `msgpack:"a,omitempty"`
 	Status int         `msgpack:"as,omitempty"`
 	Header http.Header `msgpack:"ah,omitempty"`
@@ -62,8 +63,8 @@
 func (r record) encode() []byte {
 	b, err := msgpack.Marshal(r)
 	if err != nil {
-		// All fields are plain data, which msgpack can always encode.
-		panic(errors.Wrap(err, "encode claim"))
+		// Encoding plain data fields can not fail.
+		panic(errors.Wrap(err, "encode claim record"))
 	}
 	return b
 }
@@ -71,42 +72,43 @@
 func decodeRecord(b []byte) (record, error) {
 	var r record
 	if err := msgpack.Unmarshal(b, &r); err != nil {
-		return record{}, errors.Wrap(err, "decode claim")
+		return record{}, errors.Wrap(err, "decode claim record")
 	}
 	return r, nil
 }
 
-func (r record) answer() *Response {
+func (r record) response() *Response {
 	return &Response{Status: r.Status, Header: r.Header, Body: r.Body}
 }
 
 func (r record) stamped() time.Time { return time.Unix(0, r.Stamp) }
 
-// Prefixes of row names. Rows of keys that carry their time sort by the hour,
-// so that the sweep finds expired ones without reading the others.
+// Prefixes of row names. Rows of keys that carry their creation time are sorted by
+// the hour, so that the sweep finds expired ones without reading the others.
 const (
 	timedPrefix  = "claims/t/"
 	opaquePrefix = "claims/o/"
 	hourLayout   = "2006010215"
 )
 
-// rowName names the row of a key. The caller is not part of it: a caller that
-// renews its credentials between two sends must not get a second claim.
+// rowName returns the row name of a key. The caller is not part of it: a caller
+// that renews its credentials between two requests must not get a second claim.
 func rowName(k Key, parsed keys.Key) string {
-	name := base64.RawURLEncoding.EncodeToString(sum(k.Workspace, k.Service, k.Value))
+	name := base64.RawURLEncoding.EncodeToString(hashParts(k.Workspace, k.Service, k.Value))
 	if parsed.Kind == keys.Timed {
 		return timedPrefix + parsed.Time.Format(hourLayout) + "/" + name
 	}
 	return opaquePrefix + name
 }
 
-// issuedName names an issued key among the claims of a host.
+// issuedName returns the name of an issued key among the active claims of a host.
 func issuedName(id keys.ID) string {
 	return fmt.Sprintf("issued/%s/%d/%d", id.Issuer, id.Incarnation, id.Serial)
 }
 
-// sum digests parts so that no two lists of parts give the same input.
-func sum(parts ...string) []byte {
+// hashParts hashes parts with a length prefix each, so that different lists of
+// parts never produce the same input.
+func hashParts(parts ...string) []byte {
 	h := sha256.New()
 	for _, p := range parts {
 		var size [8]byte
@@ -117,7 +119,7 @@
 	return h.Sum(nil)
 }
 
-// callerSize is the length in bytes of a caller's digest.
-const callerSize = 16
+// callerDigestSize is the length in bytes of a caller digest.
+const callerDigestSize = 16
 
-func callerDigest(caller string) []byte { return sum(caller)[:callerSize] }
+func callerDigest(caller string) []byte { return hashParts(caller)[:callerDigestSize] }
--- a/ledger/runlog.go
+++ b/ledger/runlog.go
@@ -7,11 +7,11 @@
 	"github.com/cactusproxy/cactusproxy/internal/invariant"
 )
 
-// runLogSize bounds the keys that a run log remembers.
+// runLogSize limits the number of keys in a run log.
 const runLogSize = 1 << 16
 
-// runLog remembers the latest keys under which a request may have run from this
-// host, to assert that none runs twice.
+// runLog records the most recent keys under which this host may have run a request,
+// to assert that no key runs twice.
 type runLog struct {
 	mu    sync.Mutex
 	runs  map[string]runEntry
@@ -22,7 +22,7 @@
 // runEntry is a key under which a request may have run.
 type runEntry struct {
 	claim claimID
-	// until is when the operator's retention lets the key run again.
+	// until is when the operator's retention allows the key to run again.
 	until time.Time
 }
 
@@ -30,24 +30,26 @@
 	return &runLog{runs: make(map[string]runEntry)}
 }
 
-// start records that a request is about to be sent. Its key may run again once
-// the retention has passed.
+// start records that a request is about to be sent. Its key may run again once the
+// retention has passed.
 func (g *runLog) start(row string, id claimID, retention time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// The sweep goes by the wall clock, also while a machine is suspended.
+	// The sweep uses the wall clock, which also advances while a machine is
+	// suspended.
 	now := time.Now().Round(0)
-	before, ran := g.runs[row]
-	twice := ran && now.Before(before.until)
-	invariant.Check(!twice, invariant.AtMostOnce, "key %s sent by %s and %s", row, before.claim, id)
+	previous, ran := g.runs[row]
+	duplicate := ran && now.Before(previous.until)
+	invariant.Check(!duplicate, invariant.AtMostOnce,
+		"key %s sent by %s and %s", row, previous.claim, id)
 	if !ran {
-		g.remember(row)
+		g.add(row)
 	}
 	g.runs[row] = runEntry{claim: id, until: now.Add(retention)}
 }
 
-// remember makes room by dropping the oldest key.
-func (g *runLog) remember(row string) {
+// add adds a key and evicts the oldest one if the log is full.
+func (g *runLog) add(row string) {
 	if len(g.order) < runLogSize {
 		g.order = append(g.order, row)
 		return
--- a/ledger/sweep.go
+++ b/ledger/sweep.go
@@ -12,18 +12,18 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// sweepRows bounds the rows read and deleted by one step of the sweep.
-const sweepRows = 200
+// sweepBatch limits the number of rows read and deleted by one step of the sweep.
+const sweepBatch = 200
 
-// sweep deletes expired rows until ctx ends, one read and at most one
-// transaction a step. Every host sweeps; a row that another host deleted first
-// costs no more than a read.
+// sweep deletes expired rows until ctx ends, with one read and at most one
+// transaction per step. Every host sweeps; a row that another host deletes first
+// costs only a read.
 func (b *tableStore) sweep(ctx context.Context) error {
-	if b.l.opts.SweepEvery < 0 {
+	if b.l.opts.SweepInterval < 0 {
 		return nil
 	}
 	s := sweeper{b: b}
-	for ctxtime.Sleep(ctx, s.pause()) {
+	for ctxtime.Sleep(ctx, s.interval()) {
 		if err := s.step(ctx); err != nil {
 			b.l.counts.Add("sweeps_failed", 1)
 			b.l.log.Warn("sweep failed", zap.Error(err))
@@ -32,52 +32,53 @@
 	return nil
 }
 
-// sweeper takes turns between the keys that carry their time and the others.
+// sweeper alternates between rows of timed keys and of opaque keys.
 type sweeper struct {
 	b *tableStore
 	// after is the last opaque row that was read.
-	after string
-	turn  bool
+	after     string
+	timedTurn bool
 }
 
-// pause spreads the hosts' steps.
-func (s *sweeper) pause() time.Duration {
-	every := s.b.l.opts.SweepEvery
+// interval returns the randomized time until the next step, so that the steps of
+// different hosts are spread.
+func (s *sweeper) interval() time.Duration {
+	every := s.b.l.opts.SweepInterval
 	return every/2 + rand.N(every)
 }
 
 func (s *sweeper) step(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, sweepTimeout)
 	defer cancel()
-	s.turn = !s.turn
-	if s.turn || s.b.l.opts.OpaqueRetention <= 0 {
-		return s.timed(ctx)
+	s.timedTurn = !s.timedTurn
+	if s.timedTurn || s.b.l.opts.OpaqueRetention <= 0 {
+		return s.sweepTimed(ctx)
 	}
-	return s.opaque(ctx)
+	return s.sweepOpaque(ctx)
 }
 
 const sweepTimeout = 5 * time.Second
 
-// timed deletes the oldest rows of keys that carry their time. Such a key is
-// refused before its row may go, so no second claim can be made.
-func (s *sweeper) timed(ctx context.Context) error {
-	rows, err := s.b.table.Scan(ctx, timedPrefix, "", sweepRows)
+// sweepTimed deletes the oldest rows of timed keys. Such a key is already refused
+// when its row is deleted, so it can not be claimed a second time.
+func (s *sweeper) sweepTimed(ctx context.Context) error {
+	rows, err := s.b.table.Scan(ctx, timedPrefix, "", sweepBatch)
 	if err != nil {
 		return err
 	}
-	keep := s.b.l.opts.Retention + clockSlack
-	var old []ports.Row
+	keep := s.b.l.opts.Retention + clockTolerance
+	var expired []ports.Row
 	for _, r := range rows {
-		hour, ok := hourOf(r.Key)
+		hour, ok := rowHour(r.Key)
 		if !ok || time.Since(hour.Add(time.Hour)) <= keep {
 			break
 		}
-		old = append(old, r)
+		expired = append(expired, r)
 	}
-	return s.remove(ctx, old)
+	return s.deleteRows(ctx, expired)
 }
 
-func hourOf(name string) (time.Time, bool) {
+func rowHour(name string) (time.Time, bool) {
 	text, _, ok := strings.Cut(strings.TrimPrefix(name, timedPrefix), "/")
 	if !ok {
 		return time.Time{}, false
@@ -86,27 +87,28 @@
 	return t, err == nil
 }
 
-// opaque deletes rows that did not change for the operator's retention.
-func (s *sweeper) opaque(ctx context.Context) error {
-	rows, err := s.b.table.Scan(ctx, opaquePrefix, s.after, sweepRows)
+// sweepOpaque deletes rows of opaque keys that were not changed during
+// OpaqueRetention.
+func (s *sweeper) sweepOpaque(ctx context.Context) error {
+	rows, err := s.b.table.Scan(ctx, opaquePrefix, s.after, sweepBatch)
 	if err != nil {
 		return err
 	}
 	s.after = ""
-	if len(rows) == sweepRows {
+	if len(rows) == sweepBatch {
 		s.after = rows[len(rows)-1].Key
 	}
-	var old []ports.Row
+	var expired []ports.Row
 	for _, row := range rows {
 		r, err := decodeRecord(row.Value)
-		if err == nil && time.Since(r.stamped()) > s.b.l.opts.OpaqueRetention+clockSlack {
-			old = append(old, row)
+		if err == nil && time.Since(r.stamped()) > s.b.l.opts.OpaqueRetention+clockTolerance {
+			expired = append(expired, row)
 		}
 	}
-	return s.remove(ctx, old)
+	return s.deleteRows(ctx, expired)
 }
 
-func (s *sweeper) remove(ctx context.Context, rows []ports.Row) error {
+func (s *sweeper) deleteRows(ctx context.Context, rows []ports.Row) error {
 	if len(rows) == 0 {
 		return nil
 	}
