--- a/budget/budget.go
+++ b/budget/budget.go
@@ -1,8 +1,12 @@
-// Package budget keeps the probes of a workspace, over all hosts together and at
-// any instant, within the budget that its operators set. The budget is divided
-// into shares, each a row of the platform's table that one host holds for a
-// time. Without a share nothing is probed; when the table is out, shares run out
-// and no new ones are had.
+// Package budget limits the time spent on probing the targets of a workspace,
+// across all hosts and in any window of time, to the workspace's probe budget.
+//
+// The budget is divided into shares. Each share is a row of the platform's table
+// that one host leases at a time; a host may probe only while it holds a lease, and
+// records in memory how much of the share it has spent in the sliding window. A
+// released or expired share is passed on with the amount that may already have been
+// spent. While the table is unavailable, leases expire, no new ones can be
+// acquired, and probing stops.
 package budget
 
 import (
@@ -22,37 +26,38 @@
 
 // Names of the counters in the metrics map "probe_budget".
 const (
-	countGranted     = "granted"
-	countNoShare     = "refused_no_share"
-	countLapsed      = "refused_share_lapsed"
-	countSpent       = "refused_budget_spent"
-	countNoBudget    = "refused_no_budget"
-	countLapsedLate  = "refused_lapsed_before_send"
-	countOverrun     = "overruns"
-	countTaken       = "shares_taken"
-	countRenewed     = "shares_renewed"
-	countReleased    = "shares_released"
-	countLost        = "shares_lost"
-	countUnavailable = "store_unavailable"
-	countUncertain   = "store_uncertain"
-	countConflict    = "store_conflict"
+	countGranted          = "granted"
+	countNoShare          = "refused_no_share"
+	countShareLapsed      = "refused_share_lapsed"
+	countBudgetSpent      = "refused_budget_spent"
+	countNoBudget         = "refused_no_budget"
+	countLapsedBeforeSend = "refused_lapsed_before_send"
+	countOverrun          = "overruns"
+	countTaken            = "shares_taken"
+	countRenewed          = "shares_renewed"
+	countReleased         = "shares_released"
+	countLost             = "shares_lost"
+	countUnavailable      = "store_unavailable"
+	countUncertain        = "store_uncertain"
+	countConflict         = "store_conflict"
 )
 
-// Deps is what Shares works with.
+// Deps are the dependencies of Shares.
 type Deps struct {
 	Table ports.Table
-	// Self is this host; Incarnation differs between two runs on it.
+	// Self is this host. Incarnation is unique to each run of the daemon on it.
 	Self        ports.HostID
 	Incarnation uint64
 	// Config returns the configuration in force.
 	Config  func() *declare.Config
 	Metrics *metrics.Set
 	Log     *zap.Logger
-	// Limits stands for DefaultLimits if it is zero.
-	Limits Limits
+	// Timing defaults to DefaultTiming if it is zero.
+	Timing Timing
 }
 
-// Shares is this host's part of the budgets. It is safe for concurrent use.
+// Shares manages this host's shares of the probe budgets. It is safe for concurrent
+// use.
 type Shares struct {
 	table  ports.Table
 	self   ports.HostID
@@ -60,29 +65,31 @@
 	config func() *declare.Config
 	count  *expvar.Map
 	log    *zap.Logger
-	limits Limits
+	timing Timing
 
 	mu         sync.Mutex
-	nonces     uint64
+	lastNonce  uint64
 	workspaces map[string]*workspace
 }
 
-// workspace is what is known of one workspace's budget.
+// workspace is the state of one workspace's budget on this host.
 type workspace struct {
 	name string
-	// wanted is when a probe was last asked for.
-	wanted time.Time
-	// after holds this host back when it has had a share for long.
-	after time.Time
-	views []view
-	held  *lease
-	audit audit
+	// lastRequested is when a probe was last requested.
+	lastRequested time.Time
+	// retakeAfter is when this host may acquire a share again after it released
+	// one, so that other hosts get a chance to take it.
+	retakeAfter time.Time
+	rows        []rowView
+	lease       *lease
+	audit       audit
 }
 
-// New returns shares that hold nothing yet; Run has to be started.
+// New returns Shares without any leases. They are acquired only while Run is
+// running.
 func New(d Deps) *Shares {
-	if d.Limits == (Limits{}) {
-		d.Limits = DefaultLimits()
+	if d.Timing == (Timing{}) {
+		d.Timing = DefaultTiming()
 	}
 	return &Shares{
 		table:      d.Table,
@@ -91,140 +98,146 @@
 		config:     d.Config,
 		count:      d.Metrics.Map("probe_budget"),
 		log:        d.Log,
-		limits:     d.Limits,
+		timing:     d.Timing,
 		workspaces: make(map[string]*workspace),
 	}
 }
 
-// Timeout is the longest that a probe may take.
-func (s *Shares) Timeout() time.Duration { return s.limits.Timeout }
+// Timeout returns the maximum duration of a probe.
+func (s *Shares) Timeout() time.Duration { return s.timing.Timeout }
 
-// Permit is the permission for one probe.
+// Permit is the permission to send one probe.
 type Permit struct {
 	s     *Shares
 	w     *workspace
 	lease *lease
-	// id and auditID are the entries with the reservation.
+	// id and auditID identify the reservation in the lease's and the audit's
+	// window.
 	id      uint64
 	auditID uint64
-	// Deadline is when the probe must have ended.
+	// Deadline is when the probe must have ended. It is also the latest time at
+	// which it may be sent.
 	Deadline time.Time
 }
 
-// Begin asks for one probe of a workspace's target, and reserves its time. A
-// host that asks in vain tries to get a share. The probe has to be begun at
-// once: Live is to be asked right before its first byte goes out.
+// Begin requests one probe of a workspace's target and reserves the probe timeout
+// for it. A request that fails makes this host try to acquire a share. The probe
+// has to start immediately: call Valid right before its first byte is sent, and
+// Done at its end.
 func (s *Shares) Begin(name string) (*Permit, bool) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	plan := s.plan(name)
 	w := s.workspace(name)
-	w.wanted = now
+	w.lastRequested = now
 	if reason := s.refusal(w, plan, now); reason != "" {
 		s.count.Add(reason, 1)
 		return nil, false
 	}
-	l := w.held
-	sp := &Permit{s: s, w: w, lease: l, Deadline: now.Add(s.limits.Timeout)}
-	sp.id = l.spent.add(now, s.limits.Timeout)
-	sp.auditID = w.audit.begin(now, s.limits.Timeout, plan, name)
+	l := w.lease
+	permit := &Permit{s: s, w: w, lease: l, Deadline: now.Add(s.timing.Timeout)}
+	permit.id = l.costs.add(now, s.timing.Timeout)
+	permit.auditID = w.audit.begin(now, s.timing.Timeout, plan, name)
 	s.count.Add(countGranted, 1)
-	return sp, true
+	return permit, true
 }
 
-// refusal returns the counter of the reason why nothing may be probed now.
+// refusal returns the name of the counter for the reason why no probe is allowed
+// now, or "" if one is.
 func (s *Shares) refusal(w *workspace, p Plan, now time.Time) string {
-	switch l := w.held; {
+	switch l := w.lease; {
 	case p.Shares == 0:
 		return countNoBudget
 	case l == nil || l.index >= p.Shares:
 		return countNoShare
-	case !l.covers(now, s.limits.Timeout):
-		return countLapsed
-	case l.spent.spent(now, s.span(p))+s.limits.Timeout > p.PerShare:
-		return countSpent
+	case !l.covers(now, s.timing.Timeout):
+		return countShareLapsed
+	case l.costs.total(now, s.accountingWindow(p))+s.timing.Timeout > p.PerShare:
+		return countBudgetSpent
 	default:
 		return ""
 	}
 }
 
-// span is how long a probe counts. It is counted from Begin, but may go out as
-// late as its deadline, and has to count for a whole window from then on.
-func (s *Shares) span(p Plan) time.Duration { return p.Window + s.limits.Timeout }
+// accountingWindow returns how long a probe counts as spent. It is counted from
+// Begin, but the probe may be sent as late as its deadline, and has to count for a
+// whole window from then on.
+func (s *Shares) accountingWindow(p Plan) time.Duration { return p.Window + s.timing.Timeout }
 
-// Valid reports whether the probe may still be sent.
-//
-// After a pause another host may hold the share by now. A probe that starts before Deadline is within
-// the lease.
-func (sp *Permit) Valid() bool {
-	if time.Now().Before(sp.Deadline) {
+// Valid reports whether the probe may still be sent. After a pause of this process
+// another host may already hold the share. A probe that starts before Deadline is
+// within the lease.
+func (p *Permit) Valid() bool {
+	if time.Now().Before(p.Deadline) {
 		return true
 	}
-	sp.s.count.Add(countLapsedLate, 1)
+	p.s.count.Add(countLapsedBeforeSend, 1)
 	return false
 }
 
-// Done replaces the reservation by the time that the probe took; 0 if it was not
-// sent.
-func (sp *Permit) Done(took time.Duration) {
-	s := sp.s
-	if took > s.limits.Timeout {
-		// The probe was given up at its timeout; the rest is this host's delay.
+// Done replaces the reservation by the actual duration of the probe, which is 0 if
+// it was not sent.
+func (p *Permit) Done(took time.Duration) {
+	s := p.s
+	if took > s.timing.Timeout {
+		// The probe itself ended at its timeout; the excess is a delay on this
+		// host.
 		s.count.Add(countOverrun, 1)
-		took = s.limits.Timeout
+		took = s.timing.Timeout
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sp.lease.spent.settle(sp.id, took)
-	sp.w.audit.spent.settle(sp.auditID, took)
+	p.lease.costs.settle(p.id, took)
+	p.w.audit.costs.settle(p.auditID, took)
 }
 
-// plan returns how the workspace's budget is divided at the moment.
+// plan returns how the workspace's budget is currently divided.
 func (s *Shares) plan(name string) Plan {
 	ws, ok := s.config().Workspace(name)
 	if !ok {
 		return Plan{}
 	}
-	return NewPlan(ws.ProbeBudget, s.limits.Timeout)
+	return NewPlan(ws.ProbeBudget, s.timing.Timeout)
 }
 
 func (s *Shares) workspace(name string) *workspace {
 	w := s.workspaces[name]
 	if w == nil {
-		w = &workspace{name: name, views: make([]view, maxShares)}
+		w = &workspace{name: name, rows: make([]rowView, maxShares)}
 		s.workspaces[name] = w
 	}
 	return w
 }
 
 func (s *Shares) nonce() string {
-	s.nonces++
-	return s.prefix + strconv.FormatUint(s.nonces, 10)
+	s.lastNonce++
+	return s.prefix + strconv.FormatUint(s.lastNonce, 10)
 }
 
-// audit asserts, apart from the leases, that this host alone has not spent more
-// than all hosts may. It starts anew when the budget changes.
+// audit asserts, independently of the leases, that this host alone has not spent
+// more than all hosts together may. It is reset when the budget changes.
 type audit struct {
 	plan  Plan
-	spent window
+	costs costWindow
 }
 
 func (a *audit) begin(now time.Time, cost time.Duration, p Plan, name string) uint64 {
 	if a.plan != p {
-		*a = audit{plan: p, spent: window{nextID: a.spent.nextID}}
+		*a = audit{plan: p, costs: costWindow{nextID: a.costs.nextID}}
 	}
-	sum := a.spent.spent(now, p.Window) + cost
-	most := p.PerShare * time.Duration(p.Shares)
-	invariant.Check(sum <= most, invariant.ProbeBudget,
-		"workspace %s: %s of probes in %s on this host, %s allowed to all", name, sum, p.Window, most)
-	return a.spent.add(now, cost)
+	sum := a.costs.total(now, p.Window) + cost
+	limit := p.PerShare * time.Duration(p.Shares)
+	invariant.Check(sum <= limit, invariant.ProbeBudget,
+		"workspace %s: %s of probes in %s on this host, %s allowed for all hosts",
+		name, sum, p.Window, limit)
+	return a.costs.add(now, cost)
 }
 
-// Run takes, renews and releases shares until ctx ends, and then gives back what
-// it holds.
+// Run acquires, renews and releases shares until ctx ends, and then releases all
+// shares that are held.
 func (s *Shares) Run(ctx context.Context) error {
-	tick := time.NewTicker(s.limits.Poll)
+	tick := time.NewTicker(s.timing.PollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -232,31 +245,32 @@
 			s.releaseAll(context.WithoutCancel(ctx))
 			return nil
 		case <-tick.C:
-			for _, name := range s.names() {
+			for _, name := range s.activeNames() {
 				s.step(ctx, name)
 			}
 		}
 	}
 }
 
-// names returns the workspaces that something is to be done for.
-func (s *Shares) names() []string {
+// activeNames returns the workspaces whose share may need to be acquired, renewed
+// or released, and forgets workspaces that are long unused.
+func (s *Shares) activeNames() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	var out []string
 	for name, w := range s.workspaces {
-		if w.held != nil || now.Sub(w.wanted) < s.limits.IdleRelease {
+		if w.lease != nil || now.Sub(w.lastRequested) < s.timing.IdleTimeout {
 			out = append(out, name)
 			continue
 		}
-		if now.Sub(w.wanted) > forgetAfter {
+		if now.Sub(w.lastRequested) > workspaceTTL {
 			delete(s.workspaces, name)
 		}
 	}
 	return out
 }
 
-// forgetAfter is when a workspace that nothing was asked for is forgotten; by
-// then all that was spent for it is out of any window.
-const forgetAfter = time.Hour
+// workspaceTTL is how long a workspace without requests is kept. Everything spent
+// for it is outside of any window by then.
+const workspaceTTL = time.Hour
--- a/budget/budget_test.go
+++ b/budget/budget_test.go
@@ -28,8 +28,8 @@
 }
 
 const (
-	playTime = 2 * time.Minute
-	playLag  = 3 * time.Second
+	simulationTime = 2 * time.Minute
+	maxConfigLag   = 3 * time.Second
 )
 
 func TestPlan(t *testing.T) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// holder makes a host over the store that has asked for a probe.
-func holder(s *store.Store, id ports.HostID) *Shares {
+// newRequester returns a host over the store, with a budget of 60 ms per second.
+func newRequester(s *store.Store, id ports.HostID) *Shares {
 	return New(Deps{
 		Table:   s,
 		Self:    id,
@@ -56,19 +56,20 @@
 	})
 }
 
-// The table goes out while a host holds the share. The host probes on until its
-// lease ends and then stops; when the table is back it has a share again.
+// The table becomes unavailable while a host holds a share. The host continues to
+// probe until its lease ends and then stops. When the table is back, it acquires a
+// share again.
 func TestStoreOutageEndsProbing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := store.New(store.Limits{})
-		s := holder(st, "a")
+		s := newRequester(st, "a")
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			_ = s.Run(ctx)
 		}()
-		probed := func(length time.Duration) int {
+		probeFor := func(length time.Duration) int {
 			n := 0
 			for end := time.Now().Add(length); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 				if sp, ok := s.Begin("w"); ok {
@@ -78,42 +79,43 @@
 			}
 			return n
 		}
-		assert.Check(t, probed(5*time.Second) > 10)
+		assert.Check(t, probeFor(5*time.Second) > 10)
 		st.SetFaults(store.Faults{Down: true})
-		assert.Check(t, probed(5*time.Second) > 10)
-		probed(10 * time.Second)
-		assert.Equal(t, probed(30*time.Second), 0)
+		assert.Check(t, probeFor(5*time.Second) > 10)
+		probeFor(10 * time.Second)
+		assert.Equal(t, probeFor(30*time.Second), 0)
 		st.SetFaults(store.Faults{})
-		assert.Check(t, probed(20*time.Second) > 10)
+		assert.Check(t, probeFor(20*time.Second) > 10)
 		cancel()
 		<-done
 	})
 }
 
-// A host that stops gives its share back, and the next one has it at its next
-// look; from a host that crashed it is had after the lease and the margin.
+// A host that stops releases its share, and the next host acquires it at its next
+// poll. The share of a host that crashed is acquired after the lease and the
+// margin.
 func TestHandOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, crash := range []bool{false, true} {
 			st := store.New(store.Limits{})
-			a, b := holder(st, "a"), holder(st, "b")
+			a, b := newRequester(st, "a"), newRequester(st, "b")
 			ctx := context.Background()
 			a.Begin("w")
 			a.step(ctx, "w")
 			b.Begin("w")
 			b.step(ctx, "w")
-			assert.Check(t, a.workspaces["w"].held != nil && b.workspaces["w"].held == nil)
+			assert.Check(t, a.workspaces["w"].lease != nil && b.workspaces["w"].lease == nil)
 			began := time.Now()
 			if !crash {
 				a.releaseAll(ctx)
 			}
-			for b.workspaces["w"].held == nil {
+			for b.workspaces["w"].lease == nil {
 				time.Sleep(time.Second)
 				b.Begin("w")
 				b.step(ctx, "w")
 			}
 			want := time.Second
-			if l := b.limits; crash {
+			if l := b.timing; crash {
 				want = l.Lease + l.Margin
 			}
 			assert.Equal(t, time.Since(began), want)
@@ -121,20 +123,20 @@
 	})
 }
 
-// The share was granted, and then the process was paused for longer than the
-// lease. Nothing has told it so when it asks for its next probe: the check right
-// before the probe has to find out.
+// The process is paused for longer than the lease after a probe was granted.
+// Nothing notifies it of that, so the check right before the probe has to detect
+// it.
 func TestPausedHolderFindsItsShareLapsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := holder(store.New(store.Limits{}), "a")
+		s := newRequester(store.New(store.Limits{}), "a")
 		s.Begin("w")
 		s.step(context.Background(), "w")
 		sp, ok := s.Begin("w")
 		assert.Check(t, ok)
 		assert.Check(t, sp.Valid())
-		time.Sleep(s.limits.Timeout)
+		time.Sleep(s.timing.Timeout)
 		assert.Check(t, !sp.Valid())
-		time.Sleep(s.limits.Lease - 2*s.limits.Timeout)
+		time.Sleep(s.timing.Lease - 2*s.timing.Timeout)
 		_, ok = s.Begin("w")
 		assert.Check(t, ok)
 		time.Sleep(time.Nanosecond)
@@ -143,20 +145,20 @@
 	})
 }
 
-// A host takes the share over, begins no probe, and gives it back. What the host
-// before it had spent is still told to the one after it.
+// A host acquires the share, sends no probe, and releases the share. What the host
+// before it had spent is still reported to the next one.
 func TestSpentIsHandedOnByAHostThatSpentNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := store.New(store.Limits{})
 		ctx := context.Background()
-		first := holder(st, "a")
+		first := newRequester(st, "a")
 		first.Begin("w")
 		first.step(ctx, "w")
 		sp, _ := first.Begin("w")
 		sp.Done(15 * time.Millisecond)
 		first.releaseAll(ctx)
-		second := holder(st, "b")
-		second.workspace("w").wanted = time.Now()
+		second := newRequester(st, "b")
+		second.workspace("w").lastRequested = time.Now()
 		second.step(ctx, "w")
 		second.releaseAll(ctx)
 		_, v, err := second.read(ctx, "w", 0)
@@ -166,7 +168,7 @@
 	})
 }
 
-// slowTable keeps back the answer to each commit that took effect.
+// slowTable delays the reply to each commit that took effect.
 type slowTable struct {
 	ports.Table
 	wait time.Duration
@@ -178,31 +180,31 @@
 	return res, err
 }
 
-// The process is paused between the write of its lease and the answer, long
-// enough for another host to take the share. The lease counts from before the
-// write, so the answer brings a share that may not be used any more.
+// The process is paused between the write of its lease and the reply, for long
+// enough that another host may take the share. The lease counts from before the
+// write, so the share may not be used when the reply arrives.
 func TestLeaseCountsFromBeforeItWasAskedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := holder(store.New(store.Limits{}), "a")
-		fast := s.table
-		s.table = slowTable{Table: fast, wait: s.limits.Lease}
+		s := newRequester(store.New(store.Limits{}), "a")
+		table := s.table
+		s.table = slowTable{Table: table, wait: s.timing.Lease}
 		s.Begin("w")
 		s.step(context.Background(), "w")
 		_, ok := s.Begin("w")
-		assert.Check(t, !ok, "a lease that was taken")
+		assert.Check(t, !ok, "probe granted under an expired new lease")
 
-		s = holder(store.New(store.Limits{}), "a")
+		s = newRequester(store.New(store.Limits{}), "a")
 		s.Begin("w")
 		s.step(context.Background(), "w")
 		time.Sleep(6 * time.Second)
-		s.table = slowTable{Table: s.table, wait: s.limits.Lease}
+		s.table = slowTable{Table: s.table, wait: s.timing.Lease}
 		s.Begin("w")
 		s.step(context.Background(), "w")
 		_, ok = s.Begin("w")
-		assert.Check(t, !ok, "a lease that was renewed")
+		assert.Check(t, !ok, "probe granted under an expired renewed lease")
 
 		st := store.New(store.Limits{})
-		s = holder(st, "a")
+		s = newRequester(st, "a")
 		s.Begin("w")
 		s.step(context.Background(), "w")
 		time.Sleep(6 * time.Second)
@@ -212,11 +214,11 @@
 		time.Sleep(3 * time.Second)
 		s.Begin("w")
 		s.step(context.Background(), "w")
-		time.Sleep(s.limits.Lease - 3*time.Second - s.limits.Timeout)
+		time.Sleep(s.timing.Lease - 3*time.Second - s.timing.Timeout)
 		_, ok = s.Begin("w")
-		assert.Check(t, ok, "a renewal that was read back")
+		assert.Check(t, ok, "probe refused within the lease of a renewal that was read back")
 		time.Sleep(time.Nanosecond)
 		_, ok = s.Begin("w")
-		assert.Check(t, !ok, "a renewal that was read back")
+		assert.Check(t, !ok, "probe granted after the lease of a renewal that was read back")
 	})
 }
--- a/budget/lease.go
+++ b/budget/lease.go
@@ -11,45 +11,46 @@
 	index   int
 	version uint64
 	nonce   string
-	// asked is when this host asked for the lease or its last renewal: it is
-	// counted from here, before the row was written.
-	asked time.Time
-	// length is what the row names.
-	length time.Duration
-	// since is when the host first got the share.
-	since time.Time
-	// unsure is set while the answer to a renewal is lost.
-	unsure *renewal
-	spent  window
+	// requestedAt is when this host requested the lease or its last renewal. The
+	// lease counts from here, which is before the row was written.
+	requestedAt time.Time
+	// duration is the lease duration written in the row.
+	duration time.Duration
+	// heldSince is when this host acquired the share.
+	heldSince time.Time
+	// uncertain is the last renewal if its reply was lost and it was not read back
+	// yet.
+	uncertain *renewal
+	costs     costWindow
 }
 
-// renewal is a write of the row whose answer was lost.
+// renewal is one renewal of a lease.
 type renewal struct {
-	nonce string
-	asked time.Time
+	nonce       string
+	requestedAt time.Time
 }
 
-// covers reports whether the lease lasts for this long from now on.
+// covers reports whether the lease lasts for at least d from now.
 func (l *lease) covers(now time.Time, d time.Duration) bool {
-	return elapsed(l.asked, now)+d <= l.length
+	return elapsed(l.requestedAt, now)+d <= l.duration
 }
 
-// elapsed is the greater of the times that the monotonic and the wall clock of
-// this host show. A machine that was suspended may find that its monotonic clock
-// stood still; a wall clock that was set back does no harm.
+// elapsed returns the longer of the times shown by this host's monotonic and wall
+// clocks. The monotonic clock may stop while the machine is suspended; a wall clock
+// that is set back does no harm.
 func elapsed(from, to time.Time) time.Duration {
 	return max(to.Sub(from), to.Round(0).Sub(from.Round(0)))
 }
 
-// adopt takes over what the row shows, after an answer was lost; false if the
-// row is another host's.
-func (l *lease) adopt(r ports.Row, s share) bool {
-	if l.unsure != nil && s.Nonce == l.unsure.nonce {
-		l.nonce, l.asked = l.unsure.nonce, l.unsure.asked
+// resolveRenewal updates the lease from its row after the reply to a renewal was
+// lost. It returns false if the row belongs to another host.
+func (l *lease) resolveRenewal(r ports.Row, s share) bool {
+	if l.uncertain != nil && s.Nonce == l.uncertain.nonce {
+		l.nonce, l.requestedAt = l.uncertain.nonce, l.uncertain.requestedAt
 	} else if s.Nonce != l.nonce {
 		return false
 	}
 	l.version = r.Version
-	l.unsure = nil
+	l.uncertain = nil
 	return true
 }
--- a/budget/random_test.go
+++ b/budget/random_test.go
@@ -21,113 +21,113 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// span is a stretch of the play.
-type span struct {
+// interval is a time interval of the simulation.
+type interval struct {
 	at, length time.Duration
 }
 
-func (s span) covers(d time.Duration) bool { return d >= s.at && d < s.at+s.length }
+func (s interval) covers(d time.Duration) bool { return d >= s.at && d < s.at+s.length }
 
-// change is a new budget; it comes into force at each host within playLag.
+// change is a new budget. It comes into force on each host within maxConfigLag.
 type change struct {
 	at     time.Duration
 	budget time.Duration
 }
 
-// script is all that is drawn for one play.
-type script struct {
-	hosts   int
-	seed    uint64
-	changes []change
-	outages []span
-	pauses  [][]span
-	lose    float64
-	delay   time.Duration
-	stall   float64
+// scenario holds the random parameters of one simulation.
+type scenario struct {
+	hosts         int
+	seed          uint64
+	changes       []change
+	outages       []interval
+	pauses        [][]interval
+	replyLossRate float64
+	storeDelay    time.Duration
+	stallRate     float64
 }
 
-func drawSpans(t *rapid.T, label string, most int, longest time.Duration) []span {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) span {
-		return span{
-			at:     time.Duration(rapid.Int64Range(0, int64(playTime)).Draw(t, "at")),
-			length: time.Duration(rapid.Int64Range(0, int64(longest)).Draw(t, "length")),
+func drawIntervals(t *rapid.T, label string, maxCount int, maxLength time.Duration) []interval {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) interval {
+		return interval{
+			at:     time.Duration(rapid.Int64Range(0, int64(simulationTime)).Draw(t, "at")),
+			length: time.Duration(rapid.Int64Range(0, int64(maxLength)).Draw(t, "length")),
 		}
-	}), 0, most).Draw(t, label)
+	}), 0, maxCount).Draw(t, label)
 }
 
-func drawScript(t *rapid.T) script {
-	s := script{hosts: rapid.IntRange(2, 5).Draw(t, "hosts"), seed: rapid.Uint64().Draw(t, "seed")}
+func drawScenario(t *rapid.T) scenario {
+	s := scenario{hosts: rapid.IntRange(2, 5).Draw(t, "hosts"), seed: rapid.Uint64().Draw(t, "seed")}
 	budgets := rapid.SampledFrom([]time.Duration{0, 12, 60, 240, 500})
 	s.changes = []change{{budget: rapid.SampledFrom([]time.Duration{12, 60, 240}).Draw(t, "first") * time.Millisecond}}
 	for i := range rapid.IntRange(0, 2).Draw(t, "changes") {
-		at := time.Duration(i+1) * playTime / 3
+		at := time.Duration(i+1) * simulationTime / 3
 		s.changes = append(s.changes, change{at: at, budget: budgets.Draw(t, "budget") * time.Millisecond})
 	}
-	s.outages = drawSpans(t, "outages", 2, 40*time.Second)
+	s.outages = drawIntervals(t, "outages", 2, 40*time.Second)
 	for range s.hosts {
-		s.pauses = append(s.pauses, drawSpans(t, "pauses", 3, 40*time.Second))
+		s.pauses = append(s.pauses, drawIntervals(t, "pauses", 3, 40*time.Second))
 	}
-	s.lose = rapid.SampledFrom([]float64{0, 0.2, 0.6}).Draw(t, "lose")
-	s.delay = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, 3 * time.Second}).Draw(t, "delay")
-	s.stall = rapid.SampledFrom([]float64{0, 0.02}).Draw(t, "stall")
+	s.replyLossRate = rapid.SampledFrom([]float64{0, 0.2, 0.6}).Draw(t, "lose")
+	s.storeDelay = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, 3 * time.Second}).Draw(t, "delay")
+	s.stallRate = rapid.SampledFrom([]float64{0, 0.02}).Draw(t, "stall")
 	return s
 }
 
-// spentAt is one probe that went out.
-type spentAt struct {
+// sentProbe is one probe that was sent.
+type sentProbe struct {
 	at   time.Duration
 	cost time.Duration
 }
 
-// play is one run of a script.
-type play struct {
-	script script
-	start  time.Time
-	store  *store.Store
-	// careless probers do not ask Live before they send.
-	careless bool
+// simulation is one run of a scenario.
+type simulation struct {
+	scenario scenario
+	start    time.Time
+	store    *store.Store
+	// skipValid makes the hosts send probes without calling Valid.
+	skipValid bool
 
-	mu    sync.Mutex
-	rng   *rand.Rand
-	spent []spentAt
+	mu   sync.Mutex
+	rng  *rand.Rand
+	sent []sentProbe
 }
 
-func (p *play) now() time.Duration { return time.Since(p.start) }
+func (p *simulation) now() time.Duration { return time.Since(p.start) }
 
-func (p *play) float() float64 {
+func (p *simulation) randFloat() float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rng.Float64()
 }
 
-// pause holds a host for as long as it is paused.
-func (p *play) pause(host int) {
-	for _, s := range p.script.pauses[host] {
+// pause blocks a host for as long as it is paused.
+func (p *simulation) pause(host int) {
+	for _, s := range p.scenario.pauses[host] {
 		if now := p.now(); s.covers(now) {
 			time.Sleep(s.at + s.length - now)
 		}
 	}
 }
 
-// pausedTable is the table as a host sees it that may be paused before a request
-// and before it takes in the answer.
+// pausedTable is the table as seen by a host that may be paused before a request
+// and before it handles the reply.
 type pausedTable struct {
 	ports.Table
-	play *play
+	sim  *simulation
 	host int
 }
 
 func (t pausedTable) Get(ctx context.Context, keys ...string) ([]ports.Row, error) {
-	t.play.pause(t.host)
+	t.sim.pause(t.host)
 	rows, err := t.Table.Get(ctx, keys...)
-	t.play.pause(t.host)
+	t.sim.pause(t.host)
 	return rows, err
 }
 
 func (t pausedTable) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
-	t.play.pause(t.host)
+	t.sim.pause(t.host)
 	res, err := t.Table.Commit(ctx, ops...)
-	t.play.pause(t.host)
+	t.sim.pause(t.host)
 	return res, err
 }
 
@@ -135,21 +135,20 @@
 	return &declare.Config{Workspaces: []declare.Workspace{{Name: "w", ProbeBudget: b}}}
 }
 
-// run plays the script over the real Shares and returns the probes that went
-// out.
-func (p *play) run() []spentAt {
+// run runs the scenario with the real Shares and returns the probes that were sent.
+func (p *simulation) run() []sentProbe {
 	p.start = time.Now()
-	p.rng = rand.New(rand.NewPCG(p.script.seed, 1))
+	p.rng = rand.New(rand.NewPCG(p.scenario.seed, 1))
 	p.store = store.New(store.Limits{})
-	ctx, cancel := context.WithTimeout(context.Background(), playTime)
+	ctx, cancel := context.WithTimeout(context.Background(), simulationTime)
 	defer cancel()
 	var wg sync.WaitGroup
-	wg.Go(func() { p.breakStore(ctx) })
-	for h := range p.script.hosts {
+	wg.Go(func() { p.injectStoreFaults(ctx) })
+	for h := range p.scenario.hosts {
 		var cfg atomic.Pointer[declare.Config]
-		cfg.Store(config(p.script.changes[0].budget))
+		cfg.Store(config(p.scenario.changes[0].budget))
 		s := New(Deps{
-			Table:       pausedTable{Table: p.store, play: p, host: h},
+			Table:       pausedTable{Table: p.store, sim: p, host: h},
 			Self:        ports.HostID(fmt.Sprintf("h%d", h)),
 			Incarnation: uint64(h),
 			Config:      cfg.Load,
@@ -161,13 +160,16 @@
 		wg.Go(func() { p.probe(ctx, h, s) })
 	}
 	wg.Wait()
-	return p.spent
+	return p.sent
 }
 
-func (p *play) breakStore(ctx context.Context) {
+func (p *simulation) injectStoreFaults(ctx context.Context) {
 	for ctx.Err() == nil {
-		f := store.Faults{Delay: p.script.delay, LoseReply: func() bool { return p.float() < p.script.lose }}
-		for _, o := range p.script.outages {
+		f := store.Faults{
+			Delay:     p.scenario.storeDelay,
+			LoseReply: func() bool { return p.randFloat() < p.scenario.replyLossRate },
+		}
+		for _, o := range p.scenario.outages {
 			f.Down = f.Down || o.covers(p.now())
 		}
 		p.store.SetFaults(f)
@@ -175,44 +177,45 @@
 	}
 }
 
-func (p *play) changeBudget(ctx context.Context, cfg *atomic.Pointer[declare.Config]) {
-	for _, c := range p.script.changes[1:] {
-		lag := time.Duration(p.float() * float64(playLag))
+func (p *simulation) changeBudget(ctx context.Context, cfg *atomic.Pointer[declare.Config]) {
+	for _, c := range p.scenario.changes[1:] {
+		lag := time.Duration(p.randFloat() * float64(maxConfigLag))
 		time.Sleep(c.at + lag - p.now())
 		cfg.Store(config(c.budget))
 	}
 }
 
-// probe is a host that believes to be coordinator all the time.
-func (p *play) probe(ctx context.Context, host int, s *Shares) {
+// probe runs a host that always considers itself the coordinator.
+func (p *simulation) probe(ctx context.Context, host int, s *Shares) {
 	for ctx.Err() == nil {
-		time.Sleep(time.Duration(10+p.float()*40) * time.Millisecond)
+		time.Sleep(time.Duration(10+p.randFloat()*40) * time.Millisecond)
 		p.pause(host)
 		spend, ok := s.Begin("w")
 		if !ok {
 			continue
 		}
 		p.pause(host)
-		time.Sleep(time.Duration(p.float() * float64(s.limits.Timeout)))
-		if p.float() < p.script.stall {
-			time.Sleep(time.Duration(p.float() * float64(30*time.Second)))
+		time.Sleep(time.Duration(p.randFloat() * float64(s.timing.Timeout)))
+		if p.randFloat() < p.scenario.stallRate {
+			time.Sleep(time.Duration(p.randFloat() * float64(30*time.Second)))
 		}
-		if !p.careless && !spend.Valid() {
+		if !p.skipValid && !spend.Valid() {
 			spend.Done(0)
 			continue
 		}
-		cost := time.Duration(2+p.float()*18) * time.Millisecond
+		cost := time.Duration(2+p.randFloat()*18) * time.Millisecond
 		p.mu.Lock()
-		p.spent = append(p.spent, spentAt{at: p.now(), cost: cost})
+		p.sent = append(p.sent, sentProbe{at: p.now(), cost: cost})
 		p.mu.Unlock()
 		time.Sleep(cost)
 		spend.Done(cost)
 	}
 }
 
-// judge returns the first window in which more was spent than allowed. While a
-// change comes into force the old and the new budget may both be spent.
-func (s script) judge(spent []spentAt) error {
+// checkBudget returns an error for the first window in which more was spent than
+// allowed. While a change comes into force, both the old and the new budget may be
+// spent.
+func (s scenario) checkBudget(spent []sentProbe) error {
 	for i, first := range spent {
 		length, allowed := s.allowed(first.at)
 		var sum time.Duration
@@ -229,19 +232,19 @@
 	return nil
 }
 
-// longestWindow is that of the smallest budget in the scripts.
+// longestWindow is the window of the smallest budget in the scenarios.
 const longestWindow = 5 * time.Second
 
-// allowed returns the shortest window of the plans that may be in force
-// somewhere between this moment and the longest window later, and the sum of
-// what they allow in it.
-func (s script) allowed(at time.Duration) (length, total time.Duration) {
+// allowed returns the shortest window of the plans that may be in force on some
+// host between this time and the longest window later, and the sum of what they
+// allow in it.
+func (s scenario) allowed(at time.Duration) (length, total time.Duration) {
 	length = time.Hour
 	for i, c := range s.changes {
-		plan := NewPlan(c.budget, DefaultLimits().Timeout)
-		end := playTime + longestWindow
+		plan := NewPlan(c.budget, DefaultTiming().Timeout)
+		end := simulationTime + longestWindow
 		if i+1 < len(s.changes) {
-			end = s.changes[i+1].at + playLag + DefaultLimits().Timeout
+			end = s.changes[i+1].at + maxConfigLag + DefaultTiming().Timeout
 		}
 		if plan.Shares > 0 && at < end && at+longestWindow >= c.at {
 			length = min(length, plan.Window)
@@ -251,28 +254,30 @@
 	return length, total
 }
 
-// Hosts that all believe to be coordinator probe as much as they are let, while
-// they are paused at any point, the table is out, slow or loses answers, and the
-// budget changes. In no window is more spent than allowed. Probers that rely on
-// what they were granted, and do not ask again right before they send, are
-// caught by the same judgement.
+// Hosts that all consider themselves the coordinator probe as much as they are
+// allowed, while they are paused at any point, the table is unavailable, slow or
+// loses replies, and the budget changes. No window exceeds the budget. Hosts that
+// skip the Valid check right before sending do exceed it, which shows that the
+// check of the windows detects a violation.
 func TestProbesStayWithinTheBudget(t *testing.T) {
-	plays, probes, caught := 0, 0, 0
+	runs, probes, caught := 0, 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
-		s := drawScript(rt)
-		var careful, careless []spentAt
-		synctest.Test(t, func(*testing.T) { careful = (&play{script: s}).run() })
-		synctest.Test(t, func(*testing.T) { careless = (&play{script: s, careless: true}).run() })
-		plays++
-		probes += len(careful)
-		if s.judge(careless) != nil {
+		s := drawScenario(rt)
+		var checked, unchecked []sentProbe
+		synctest.Test(t, func(*testing.T) { checked = (&simulation{scenario: s}).run() })
+		synctest.Test(t, func(*testing.T) { unchecked = (&simulation{scenario: s, skipValid: true}).run() })
+		runs++
+		probes += len(checked)
+		if s.checkBudget(unchecked) != nil {
 			caught++
 		}
-		if err := s.judge(careful); err != nil {
+		if err := s.checkBudget(checked); err != nil {
 			rt.Fatal(err)
 		}
 	})
-	t.Logf("%d plays of %s, %d probes, none over the budget; careless probers caught in %d plays", plays, playTime, probes, caught)
+	t.Logf(
+		"%d runs of %s, %d probes, none over the budget; violation without Valid detected in %d runs",
+		runs, simulationTime, probes, caught)
 	assert.Check(t, probes > 1000)
 	assert.Check(t, caught > 0)
 }
--- a/budget/row.go
+++ b/budget/row.go
@@ -9,20 +9,21 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// share is the value of the row that stands for one share.
+// share is the value of the row that represents one share.
 type share struct {
 	Holder ports.HostID `msgpack:"h"`
-	// Nonce differs for each write, so that a writer whose answer was lost
-	// knows its own row when it reads it back.
+	// Nonce is unique to each write, so that a writer whose reply was lost
+	// recognizes its own row when it reads it back.
 	Nonce string `msgpack:"n"`
-	// Lease is what others have to wait for, from when they first saw the row.
+	// Lease is how long other hosts have to wait from when they first saw the row.
 	Lease time.Duration `msgpack:"l"`
-	// Released tells that the holder will not use the share any more.
+	// Released is set if the holder will not use the share any more.
 	Released bool `msgpack:"r"`
-	// Spent is what the holder has spent in the last Window or, before it
-	// releases the share, may have spent when its lease ends. Its successor goes
-	// on from there, and tells the next one for as long: hosts that have heard
-	// of a change of the budget and hosts that have not may take turns.
+	// Spent is what the holder has spent in the last Window or, before it releases
+	// the share, may have spent when its lease ends. The next holder continues from
+	// there and reports it to its own successor for as long, because hosts that
+	// have received a change of the budget and hosts that have not may hold the
+	// share alternately.
 	Spent  time.Duration `msgpack:"s"`
 	Window time.Duration `msgpack:"w"`
 }
@@ -34,41 +35,44 @@
 func (s share) encode() []byte {
 	b, err := msgpack.Marshal(s)
 	if err != nil {
-		// A struct of plain fields always encodes.
+		// Encoding plain data fields can not fail.
 		panic(err)
 	}
 	return b
 }
 
-// view is a row as this host knows it.
-type view struct {
+// rowView is the last version of a row that this host has read.
+type rowView struct {
 	version uint64
 	share   share
-	// firstSeen is when this host first saw this write of the row.
+	// firstSeen is when this host first read this version of the row.
 	firstSeen time.Time
 }
 
-// update takes in a row that was read.
-func (v *view) update(now time.Time, r ports.Row) {
+// update records a row that was read.
+func (v *rowView) update(now time.Time, r ports.Row) {
 	var s share
 	if r.Version > 0 && msgpack.Unmarshal(r.Value, &s) != nil {
-		// A row that can not be read is waited for like a lease of this version,
-		// and then replaced.
-		s = share{Nonce: "unreadable", Lease: DefaultLimits().Lease}
+		// An undecodable row is treated as a lease of the default duration, and
+		// replaced after it has expired.
+		s = share{Nonce: "unreadable", Lease: DefaultTiming().Lease}
 	}
 	if v.version == r.Version && v.share.Nonce == s.Nonce && !v.firstSeen.IsZero() {
 		return
 	}
-	*v = view{version: r.Version, share: s, firstSeen: now}
+	*v = rowView{version: r.Version, share: s, firstSeen: now}
 }
 
-// free reports whether the share may be taken, and what may have been spent
-// under it in the window before.
+// available reports whether the share may be taken, and what may have been spent under
+// it in the preceding window.
 //
-// The holder counts its lease from before it wrote the row, and we count a longer time from after we
-// saw it written, each on its own clock: whatever the clocks show, the holder's time ends first, so
-// long as they run at rates that the margin covers.
-func (v *view) free(now time.Time, margin, allowance time.Duration) (spent time.Duration, ok bool) {
+// The holder counts its lease from before it wrote the row. Other hosts count a
+// longer time from after they first saw the row, by their own clocks. So the
+// holder's lease always ends first, whatever time the clocks show, as long as their
+// rates differ by no more than the margin covers.
+func (v *rowView) available(
+	now time.Time, margin, allowance time.Duration,
+) (spent time.Duration, ok bool) {
 	switch {
 	case v.version == 0:
 		return 0, true
--- a/budget/step.go
+++ b/budget/step.go
@@ -11,7 +11,7 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// task is what a step decided to do with a workspace's rows.
+// task is the action that a step takes for a workspace.
 type task uint8
 
 const (
@@ -22,10 +22,10 @@
 	taskRelease
 )
 
-// step does what is next for one workspace. Steps run one at a time; Begin runs
-// beside them, and never waits for the table.
+// step takes the next action for one workspace. Steps run one at a time. Begin runs
+// concurrently with them and never waits for the table.
 func (s *Shares) step(ctx context.Context, name string) {
-	ctx, cancel := context.WithTimeout(ctx, s.limits.StoreTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.timing.StoreTimeout)
 	defer cancel()
 	switch s.next(name) {
 	case taskTake:
@@ -45,35 +45,35 @@
 	now := time.Now()
 	w := s.workspace(name)
 	plan := s.plan(name)
-	wanted := plan.Shares > 0 && now.Sub(w.wanted) < s.limits.IdleRelease
-	l := w.held
+	wanted := plan.Shares > 0 && now.Sub(w.lastRequested) < s.timing.IdleTimeout
+	l := w.lease
 	switch {
-	case l == nil && wanted && !now.Before(w.after):
+	case l == nil && wanted && !now.Before(w.retakeAfter):
 		return taskTake
 	case l == nil:
 		return taskNone
 	case !l.covers(now, 0):
-		s.lose(w, "lease ran out")
+		s.dropShare(w, "lease expired")
 		return taskNone
-	case !wanted || l.index >= plan.Shares || now.Sub(l.since) >= s.limits.MaxHold:
+	case !wanted || l.index >= plan.Shares || now.Sub(l.heldSince) >= s.timing.MaxHold:
 		return taskRelease
-	case l.unsure != nil:
+	case l.uncertain != nil:
 		return taskReadBack
-	case elapsed(l.asked, now) >= l.length/2:
+	case elapsed(l.requestedAt, now) >= l.duration/2:
 		return taskRenew
 	default:
 		return taskNone
 	}
 }
 
-// lose drops a share. The caller holds the lock.
-func (s *Shares) lose(w *workspace, why string) {
-	w.held = nil
+// dropShare gives up a share without releasing its row. The caller holds the lock.
+func (s *Shares) dropShare(w *workspace, reason string) {
+	w.lease = nil
 	s.count.Add(countLost, 1)
-	s.log.Info("probing share lost", zap.String("workspace", w.name), zap.String("why", why))
+	s.log.Info("probe budget share lost", zap.String("workspace", w.name), zap.String("why", reason))
 }
 
-// take reads the rows and tries to get a free one.
+// take reads the rows and tries to acquire a free share.
 func (s *Shares) take(ctx context.Context, name string) {
 	s.mu.Lock()
 	plan := s.plan(name)
@@ -84,66 +84,72 @@
 	}
 	rows, err := s.table.Get(ctx, keys...)
 	if err != nil {
-		s.failed(err)
+		s.countStoreError(err)
 		return
 	}
-	if f, ok := s.choose(name, rows, plan); ok {
-		s.claim(ctx, name, f, plan)
+	if f, ok := s.findFree(name, rows, plan); ok {
+		s.acquire(ctx, name, f, plan)
 	}
 }
 
-// found is a free share.
-type found struct {
+// freeShare is a share that may be taken.
+type freeShare struct {
 	index int
-	view  view
+	view  rowView
 	spent time.Duration
 }
 
-// choose takes in the rows and returns a free one.
-func (s *Shares) choose(name string, rows []ports.Row, p Plan) (found, bool) {
+// findFree records the rows that were read and returns a free share, if any.
+func (s *Shares) findFree(name string, rows []ports.Row, p Plan) (freeShare, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	w := s.workspace(name)
 	for n, r := range rows {
-		w.views[n].update(now, r)
+		w.rows[n].update(now, r)
 	}
 	for n := range rows {
-		if spent, ok := w.views[n].free(now, s.limits.Margin, p.PerShare); ok {
-			return found{index: n, view: w.views[n], spent: spent}, true
+		if spent, ok := w.rows[n].available(now, s.timing.Margin, p.PerShare); ok {
+			return freeShare{index: n, view: w.rows[n], spent: spent}, true
 		}
 	}
-	return found{}, false
+	return freeShare{}, false
 }
 
-// claim writes the row of a free share.
-func (s *Shares) claim(ctx context.Context, name string, f found, p Plan) {
+// acquire writes the row of a free share.
+func (s *Shares) acquire(ctx context.Context, name string, f freeShare, p Plan) {
 	s.mu.Lock()
-	l := &lease{index: f.index, version: f.view.version + 1, nonce: s.nonce(), length: s.limits.Lease}
+	l := &lease{
+		index: f.index, version: f.view.version + 1, nonce: s.nonce(), duration: s.timing.Lease,
+	}
 	s.mu.Unlock()
-	l.spent.keep = max(s.span(p), f.view.share.Window)
-	l.asked = time.Now()
-	if !s.write(ctx, name, l, f.view.version, s.holding(l, l.nonce, p)) {
+	l.costs.retention = max(s.accountingWindow(p), f.view.share.Window)
+	l.requestedAt = time.Now()
+	if !s.write(ctx, name, l, f.view.version, s.heldRow(l, l.nonce, p)) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	l.since = now
-	// What the last holder spent counts as spent now: it was not later.
-	l.spent.add(now, f.spent)
-	s.workspace(name).held = l
+	l.heldSince = now
+	// The spending of the last holder counts as of now, which is not earlier than
+	// it really was.
+	l.costs.add(now, f.spent)
+	s.workspace(name).lease = l
 	s.count.Add(countTaken, 1)
-	s.log.Info("probing share taken", zap.String("workspace", name), zap.Int("share", f.index))
+	s.log.Info("probe budget share acquired", zap.String("workspace", name), zap.Int("share", f.index))
 }
 
-// holding is the row of a share that this host holds.
-func (s *Shares) holding(l *lease, nonce string, p Plan) share {
-	return share{Holder: s.self, Nonce: nonce, Lease: s.limits.Lease, Spent: p.PerShare, Window: l.spent.keep}
+// heldRow returns the row value of a share held by this host.
+func (s *Shares) heldRow(l *lease, nonce string, p Plan) share {
+	return share{
+		Holder: s.self, Nonce: nonce, Lease: s.timing.Lease, Spent: p.PerShare,
+		Window: l.costs.retention,
+	}
 }
 
-// write writes the row if it still has the version; a lost answer is resolved by
-// reading back, once.
+// write writes the row if it still has the given version, and reports whether it
+// did. If the reply is lost, the row is read back once.
 func (s *Shares) write(ctx context.Context, name string, l *lease, version uint64, v share) bool {
 	op := ports.Op{Kind: ports.OpUpdate, Key: rowKey(name, l.index), Version: version, Value: v.encode()}
 	if version == 0 {
@@ -151,12 +157,12 @@
 	}
 	res, err := s.table.Commit(ctx, op)
 	if errors.Is(err, ports.ErrUncertain) {
-		s.failed(err)
-		r, now, err := s.read(ctx, name, l.index)
-		return err == nil && now.Nonce == v.Nonce && r.Version == version+1
+		s.countStoreError(err)
+		r, current, err := s.read(ctx, name, l.index)
+		return err == nil && current.Nonce == v.Nonce && r.Version == version+1
 	}
 	if err != nil {
-		s.failed(err)
+		s.countStoreError(err)
 		return false
 	}
 	if !res.Applied {
@@ -168,7 +174,7 @@
 func (s *Shares) read(ctx context.Context, name string, i int) (ports.Row, share, error) {
 	rows, err := s.table.Get(ctx, rowKey(name, i))
 	if err != nil {
-		s.failed(err)
+		s.countStoreError(err)
 		return ports.Row{}, share{}, err
 	}
 	var v share
@@ -178,7 +184,7 @@
 	return rows[0], v, err
 }
 
-func (s *Shares) failed(err error) {
+func (s *Shares) countStoreError(err error) {
 	if errors.Is(err, ports.ErrUncertain) {
 		s.count.Add(countUncertain, 1)
 		return
@@ -186,14 +192,14 @@
 	s.count.Add(countUnavailable, 1)
 }
 
-// renew extends the lease that is held. Until the table's answer is there the
-// old lease goes on and is not extended.
+// renew extends the lease. Until the table has replied, the current lease continues
+// unextended.
 func (s *Shares) renew(ctx context.Context, name string) {
 	s.mu.Lock()
-	l := s.workspace(name).held
-	r := renewal{nonce: s.nonce(), asked: time.Now()}
+	l := s.workspace(name).lease
+	r := renewal{nonce: s.nonce(), requestedAt: time.Now()}
 	version := l.version
-	v := s.holding(l, r.nonce, s.plan(name))
+	v := s.heldRow(l, r.nonce, s.plan(name))
 	s.mu.Unlock()
 	op := ports.Op{Kind: ports.OpUpdate, Key: rowKey(name, l.index), Version: version, Value: v.encode()}
 	res, err := s.table.Commit(ctx, op)
@@ -201,23 +207,23 @@
 	defer s.mu.Unlock()
 	switch {
 	case errors.Is(err, ports.ErrUncertain):
-		s.failed(err)
-		l.unsure = &r
+		s.countStoreError(err)
+		l.uncertain = &r
 	case err != nil:
-		s.failed(err)
+		s.countStoreError(err)
 	case !res.Applied:
-		s.lose(s.workspace(name), "taken by another host")
+		s.dropShare(s.workspace(name), "taken by another host")
 	default:
-		l.nonce, l.asked = r.nonce, r.asked
+		l.nonce, l.requestedAt = r.nonce, r.requestedAt
 		l.version = version + 1
 		s.count.Add(countRenewed, 1)
 	}
 }
 
-// readBack finds out whether a renewal took effect.
+// readBack determines whether a renewal whose reply was lost took effect.
 func (s *Shares) readBack(ctx context.Context, name string) {
 	s.mu.Lock()
-	l := s.workspace(name).held
+	l := s.workspace(name).lease
 	s.mu.Unlock()
 	r, v, err := s.read(ctx, name, l.index)
 	if err != nil {
@@ -225,22 +231,23 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !l.adopt(r, v) {
-		s.lose(s.workspace(name), "taken by another host")
+	if !l.resolveRenewal(r, v) {
+		s.dropShare(s.workspace(name), "taken by another host")
 	}
 }
 
-// release gives a share back, for others to take at once. It is not used from
-// before the row is written; if that fails, others wait for the lease to end.
+// release releases a share, so that other hosts can take it immediately. This host
+// stops using it before the row is written; if the write fails, others wait until
+// the lease has expired.
 func (s *Shares) release(ctx context.Context, name string) {
 	s.mu.Lock()
 	w := s.workspace(name)
-	l := w.held
-	w.held = nil
+	l := w.lease
+	w.lease = nil
 	now := time.Now()
-	w.after = now.Add(2 * s.limits.Poll)
-	v := share{Holder: s.self, Nonce: s.nonce(), Released: true, Window: l.spent.keep}
-	v.Spent = l.spent.spent(now, l.spent.keep)
+	w.retakeAfter = now.Add(2 * s.timing.PollInterval)
+	v := share{Holder: s.self, Nonce: s.nonce(), Released: true, Window: l.costs.retention}
+	v.Spent = l.costs.total(now, l.costs.retention)
 	version := l.version
 	s.mu.Unlock()
 	s.count.Add(countReleased, 1)
@@ -248,7 +255,7 @@
 }
 
 func (s *Shares) releaseAll(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, s.limits.StoreTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.timing.StoreTimeout)
 	defer cancel()
 	for _, name := range s.heldNames() {
 		s.release(ctx, name)
@@ -260,7 +267,7 @@
 	defer s.mu.Unlock()
 	var out []string
 	for name, w := range s.workspaces {
-		if w.held != nil {
+		if w.lease != nil {
 			out = append(out, name)
 		}
 	}
--- a/budget/window.go
+++ b/budget/window.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// entry is one probe, or another amount to be counted, from a moment on.
-type entry struct {
+// costEntry is the cost of a probe, or another amount, that counts from a point in
+// time.
+type costEntry struct {
 	at   time.Time
 	cost time.Duration
 	id   uint64
 }
 
-// window adds up what was spent in the last while.
-type window struct {
-	entries []entry
+// costWindow is a log of costs that is summed over sliding windows.
+type costWindow struct {
+	entries []costEntry
 	nextID  uint64
-	// keep is the longest window that was asked about: a change of the budget
-	// shortens the window, and who takes over the share may not have heard of it.
-	keep time.Duration
+	// retention is the longest window that was ever summed. Entries are kept that
+	// long, because a change of the budget can shorten the window on this host
+	// before the next holder of the share has received that change.
+	retention time.Duration
 }
 
-// add counts a cost from now on, and returns its number for settle.
-func (w *window) add(now time.Time, cost time.Duration) uint64 {
+// add records a cost as of now, and returns its ID for settle.
+func (w *costWindow) add(now time.Time, cost time.Duration) uint64 {
 	w.nextID++
-	w.entries = append(w.entries, entry{at: now, cost: cost, id: w.nextID})
+	w.entries = append(w.entries, costEntry{at: now, cost: cost, id: w.nextID})
 	return w.nextID
 }
 
-// settle replaces a reserved cost by the real one.
-func (w *window) settle(id uint64, cost time.Duration) {
+// settle replaces a reserved cost by the actual one.
+func (w *costWindow) settle(id uint64, cost time.Duration) {
 	for i := range w.entries {
 		if w.entries[i].id == id {
 			w.entries[i].cost = cost
@@ -34,14 +36,14 @@
 	}
 }
 
-// spent returns what was spent in the window that ends now.
-func (w *window) spent(now time.Time, length time.Duration) time.Duration {
-	w.keep = max(w.keep, length)
+// total returns the sum of the costs in the window that ends now.
+func (w *costWindow) total(now time.Time, length time.Duration) time.Duration {
+	w.retention = max(w.retention, length)
 	kept := w.entries[:0]
 	var sum time.Duration
 	for _, e := range w.entries {
 		age := now.Sub(e.at)
-		if age < w.keep {
+		if age < w.retention {
 			kept = append(kept, e)
 		}
 		if age < length {
