--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -71,7 +71,7 @@
 	if c.Method != http.MethodHead {
 		a.buffers = d.buffers
 	}
-	if p.claim != nil && !p.claim.Sending() {
+	if p.claim != nil && !p.claim.BeginAttempt() {
 		// This host was stalled for so long that the claim's row may have expired and been
 		// claimed by another request with the same key.
 		a.class, a.reason = pick.Canceled, outcome.ReasonKeyExpired
--- a/dispatch/keyed.go
+++ b/dispatch/keyed.go
@@ -15,7 +15,7 @@
 // Ledger decides which host executes the call of an idempotency key. It is implemented by
 // ledger.Ledger.
 type Ledger interface {
-	Begin(ctx context.Context, k ledger.Key) (*ledger.Claim, *ledger.Answer, outcome.Result)
+	Begin(ctx context.Context, k ledger.Key) (*ledger.Claim, *ledger.Response, outcome.Result)
 }
 
 // doKeyed executes an at-most-once call under the claim of its idempotency key.
@@ -36,7 +36,7 @@
 	case r.Result.Outcome == outcome.NotRun:
 		return giveUp(ctx, claim, r)
 	default:
-		claim.Undecided()
+		claim.MarkUndecided()
 		return r
 	}
 }
@@ -86,7 +86,7 @@
 	status, header := r.Status, r.Header.Clone()
 	r.Body = NewReplyBody(cp, func(class pick.Class) {
 		if class != pick.OK {
-			claim.Undecided()
+			claim.MarkUndecided()
 			return
 		}
 		claim.Finish(context.Background(), cp.response(status, header))
@@ -114,9 +114,9 @@
 
 // response returns the copy, or nil if the response was too large: the ledger then records that
 // the call ran, without its response.
-func (a *responseCopy) response(status int, h http.Header) *ledger.Answer {
+func (a *responseCopy) response(status int, h http.Header) *ledger.Response {
 	if a.overflow {
 		return nil
 	}
-	return &ledger.Answer{Status: status, Header: h, Body: a.buf.Bytes()}
+	return &ledger.Response{Status: status, Header: h, Body: a.buf.Bytes()}
 }
