--- /dev/null
+++ b/quarantine/attempt.go
@@ -0,0 +1,201 @@
+package quarantine
+
+import (
+	"context"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/cactusproxy/cactusproxy/peer"
+	"github.com/cactusproxy/cactusproxy/policy/suspicion"
+	"github.com/cactusproxy/cactusproxy/ports"
+)
+
+// Decision is the result of Admit.
+type Decision struct {
+	// Refuse is set if the attempt must not be sent: the request is quarantined, or
+	// ctx ended while it waited for a trial (see Waited).
+	Refuse bool
+	// Alone is set for a trial: the attempt must have a target to itself.
+	Alone bool
+	// Waited is set if the attempt is refused only because ctx ended while it waited
+	// for a trial; the request is not quarantined.
+	Waited bool
+	// RetryAfter is the delay to suggest to the caller of a refused attempt.
+	RetryAfter time.Duration
+}
+
+// Attempt is one admitted attempt. All methods accept a nil receiver, which stands
+// for an attempt that is not tracked.
+type Attempt struct {
+	q      *Quarantine
+	digest uint64
+	target ports.RunID
+	trial  *trial
+	once   sync.Once
+}
+
+// trial is the permission to run one attempt of a suspect.
+type trial struct {
+	holder string
+	// arbiters are the hosts that may have granted the permission, including those
+	// whose reply was lost.
+	arbiters []ports.HostID
+}
+
+// Admit decides whether an attempt may be sent; it must be called for first attempts,
+// retries and hedges alike. It returns at once unless the request is a suspect: then
+// it waits for permission to run a trial, or for the outcome of another trial, until
+// ctx ends. An attempt that is not refused must be ended by Completed, BrokeOff or
+// Close. A digest of 0 is admitted without tracking.
+func (q *Quarantine) Admit(ctx context.Context, digest uint64) (*Attempt, Decision) {
+	if digest == 0 {
+		return nil, Decision{}
+	}
+	if q.entries.Load() == 0 {
+		return &Attempt{q: q, digest: digest}, Decision{}
+	}
+	return q.admitSuspect(ctx, digest)
+}
+
+func (q *Quarantine) admitSuspect(ctx context.Context, digest uint64) (*Attempt, Decision) {
+	delay := minPollDelay
+	for {
+		answer, t, changed := q.decide(ctx, digest)
+		switch answer {
+		case suspicion.Free:
+			return &Attempt{q: q, digest: digest}, Decision{}
+		case suspicion.Refused:
+			return nil, q.refuse(Decision{})
+		case suspicion.Alone:
+			q.count.Add(countTrials, 1)
+			return &Attempt{q: q, digest: digest, trial: t}, Decision{Alone: true}
+		}
+		q.count.Add(countTrialWaits, 1)
+		if !waitForChange(ctx, changed, delay) {
+			q.count.Add(countWaitTimeouts, 1)
+			return nil, q.refuse(Decision{Waited: true})
+		}
+		delay = min(2*delay, maxPollDelay)
+	}
+}
+
+// decide evaluates an attempt once, without waiting for another trial. The channel changed
+// is closed at the next change to any request.
+func (q *Quarantine) decide(ctx context.Context, digest uint64) (a suspicion.Answer, t *trial, changed <-chan struct{}) {
+	var state suspicion.State
+	var settled bool
+	q.locked(func(now time.Time) {
+		state = q.tracker.Sent(now, digest)
+		settled = q.tracker.Settled(now, digest)
+		changed = q.changed
+	})
+	switch {
+	case state == suspicion.Clean:
+		return suspicion.Free, nil, changed
+	case settled:
+		return suspicion.Refused, nil, changed
+	case state == suspicion.Quarantined:
+		return suspicion.Busy, nil, changed
+	}
+	a, t = q.acquireTrial(ctx, digest)
+	return a, t, changed
+}
+
+// Bounds of the backoff between requests to the arbiter while another trial runs.
+const (
+	minPollDelay = 2 * time.Millisecond
+	maxPollDelay = 50 * time.Millisecond
+)
+
+func (q *Quarantine) refuse(d Decision) Decision {
+	q.count.Add(countRefused, 1)
+	d.Refuse = true
+	d.RetryAfter = DefaultRetryAfter
+	return d
+}
+
+// waitForChange waits until changed is closed or the delay has passed, and returns true.
+// It returns false if ctx ends first.
+func waitForChange(ctx context.Context, changed <-chan struct{}, delay time.Duration) bool {
+	t := time.NewTimer(delay)
+	defer t.Stop()
+	select {
+	case <-changed:
+		return true
+	case <-t.C:
+		return true
+	case <-ctx.Done():
+		return false
+	}
+}
+
+// Started must be called before the first byte is sent to the target.
+func (a *Attempt) Started(target ports.RunID) {
+	if a == nil {
+		return
+	}
+	a.target = target
+}
+
+// Completed reports that the target's complete response arrived, whatever its status.
+func (a *Attempt) Completed() {
+	if a == nil {
+		return
+	}
+	a.once.Do(func() {
+		a.q.reachability.markUp(a.target)
+		a.q.recordCompletion(a.digest)
+		a.endTrial()
+	})
+}
+
+// BrokeOff reports that the connection was lost before the complete response arrived,
+// and that this side did not close it. The failure must be returned to the caller only
+// after BrokeOff returns: by then the notifications are on their way to the other
+// hosts, any of which may receive the caller's retry.
+func (a *Attempt) BrokeOff() {
+	if a == nil {
+		return
+	}
+	a.once.Do(func() {
+		loss := suspicion.Loss{Target: a.target, Trial: a.trial != nil}
+		a.q.recordLoss(suspicion.Run{Digest: a.digest, Loss: loss})
+		a.endTrial()
+	})
+}
+
+// Close ends an attempt that gave no evidence either way: it was not sent, was shed,
+// canceled or timed out. After Completed or BrokeOff it does nothing.
+func (a *Attempt) Close() {
+	if a == nil {
+		return
+	}
+	a.once.Do(a.endTrial)
+}
+
+// endTrial returns the permission, together with the record as of the end of the trial.
+func (a *Attempt) endTrial() {
+	if a.trial == nil {
+		return
+	}
+	msg := endTrialMsg{Digest: a.digest, Holder: a.trial.holder}
+	a.q.locked(func(now time.Time) {
+		a.q.tracker.EndTrial(a.digest, ports.HostID(a.trial.holder))
+		if r, ok := a.q.tracker.Record(now, a.digest); ok {
+			msg.Record = append(msg.Record, r)
+		}
+		a.q.notifyWaiters()
+	})
+	for _, id := range a.trial.arbiters {
+		if id != a.q.link.Self() && !peer.Notify(a.q.link, id, kindEndTrial, msg) {
+			a.q.count.Add(countDropped, 1)
+		}
+	}
+}
+
+// newTrial returns a trial with a holder name that is unique across all hosts.
+func (q *Quarantine) newTrial() *trial {
+	n := strconv.FormatUint(q.trials.Add(1), 10)
+	return &trial{holder: string(q.link.Self()) + "/" + n}
+}
--- a/quarantine/digest.go
+++ b/quarantine/digest.go
@@ -7,9 +7,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest identifies a request for suspicion. Of a body that is not kept in
-// memory, body is the part that was read before the request is sent, and length
-// the whole length, or -1 if it is not known. It is never 0.
+// Digest returns the hash that identifies equal requests. If the body is not
+// buffered in memory, body is the part that was read before the request is sent.
+// length is the length of the whole body, or -1 if it is unknown. The digest is
+// never 0, which Admit takes for a request that is not tracked.
 func Digest(workspace, service, method, path string, body []byte, length int64) uint64 {
 	var h xxhash.Digest
 	h.Reset()
@@ -22,27 +23,27 @@
 	return max(1, h.Sum64())
 }
 
-// writeLength keeps apart the parts that follow each other.
+// writeLength writes a length prefix, so that adjacent parts can't run together.
 func writeLength(h *xxhash.Digest, n int64) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(n))
 	_, _ = h.Write(b[:])
 }
 
-// answeredSize is the number of requests remembered as answered; a power of 2.
-const answeredSize = 1 << 14
+// completedCacheSize is the number of slots in a completedCache; a power of 2.
+const completedCacheSize = 1 << 14
 
-// answered remembers, without a lock, requests that were answered in full. A
-// request may be pushed out by another one; none is remembered wrongly.
-type answered struct {
-	slots [answeredSize]atomic.Uint64
+// completedCache is a lock-free, direct-mapped cache of the digests of requests that got a
+// complete response. A colliding digest evicts an entry; there are no false positives.
+type completedCache struct {
+	slots [completedCacheSize]atomic.Uint64
 }
 
-func (a *answered) add(d uint64) {
-	slot := &a.slots[d%answeredSize]
+func (a *completedCache) add(d uint64) {
+	slot := &a.slots[d%completedCacheSize]
 	if slot.Load() != d {
 		slot.Store(d)
 	}
 }
 
-func (a *answered) has(d uint64) bool { return a.slots[d%answeredSize].Load() == d }
+func (a *completedCache) has(d uint64) bool { return a.slots[d%completedCacheSize].Load() == d }
--- a/quarantine/messages.go
+++ b/quarantine/messages.go
@@ -6,18 +6,18 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Kinds of the messages between hosts.
+// Kinds of messages between hosts.
 const (
-	// kindRecords tells what a host holds of some requests.
+	// kindRecords carries the sender's records of some requests.
 	kindRecords = peer.KindQuarantine + iota
-	// kindCleared tells that requests are innocent.
+	// kindCleared announces that requests are innocent.
 	kindCleared
-	// kindAsk asks the keeper of a request's trials for permission to run it.
-	kindAsk
-	// kindEndTrial gives the permission back.
+	// kindAcquireTrial asks an arbiter for permission to run a trial of a suspect.
+	kindAcquireTrial
+	// kindEndTrial returns that permission.
 	kindEndTrial
-	// kindLost tells that a target can not be reached any more.
-	kindLost
+	// kindTargetLost announces that a target became unreachable.
+	kindTargetLost
 )
 
 // recordsMsg is the body of kindRecords.
@@ -30,27 +30,28 @@
 	Digests []suspicion.Digest `msgpack:"d"`
 }
 
-// lostMsg is the body of kindLost.
-type lostMsg struct {
+// targetLostMsg is the body of kindTargetLost.
+type targetLostMsg struct {
 	Target ports.RunID `msgpack:"t"`
 }
 
-// askReq is the body of kindAsk. It carries what the asking host holds of the
-// request, so that a keeper that has heard nothing learns it first.
-type askReq struct {
+// acquireReq is the body of kindAcquireTrial. It carries the sender's record of the request,
+// so that an arbiter that missed the earlier notifications decides on the same evidence.
+type acquireReq struct {
 	Record suspicion.Record `msgpack:"r"`
-	// Holder names this one trial.
+	// Holder identifies this trial, see newTrial.
 	Holder string `msgpack:"h"`
 }
 
-// askResp answers kindAsk; Record is set if the request is quarantined.
-type askResp struct {
+// acquireResp is the response to kindAcquireTrial. Record is set if the request is
+// quarantined.
+type acquireResp struct {
 	Answer suspicion.Answer `msgpack:"a"`
 	Record suspicion.Record `msgpack:"r"`
 }
 
-// endTrialMsg is the body of kindEndTrial. It carries what the trial has shown,
-// so that the next trial is not begun on older knowledge.
+// endTrialMsg is the body of kindEndTrial. It carries the record as of the end of the
+// trial, so that the next trial is not granted on outdated evidence.
 type endTrialMsg struct {
 	Digest suspicion.Digest   `msgpack:"d"`
 	Holder string             `msgpack:"h"`
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,7 +1,14 @@
-// Package quarantine keeps a request that crashes each target which runs it from
-// reaching more of them, although its caller sends it again to any host. The
-// decisions are in policy/suspicion; here hosts tell each other what they saw,
-// and agree on who may try a suspect.
+// Package quarantine stops poison requests: requests that crash every target that
+// runs them and that the caller retries through any host.
+//
+// Each attempt goes through Quarantine.Admit. When a connection is lost while a
+// target runs a request, the request becomes a suspect and the hosts exchange
+// records of what they saw. A suspect may run only as a trial: one attempt at a
+// time across all hosts, alone on its target, with permission from the host that
+// arbitrates the trials of this request (chosen by rendezvous hashing). A complete
+// response clears the request; further losses quarantine it, and every host then
+// refuses it until the quarantine expires. The rules are in policy/suspicion; this
+// package has the messages, the locking and the trial permissions.
 package quarantine
 
 import (
@@ -22,70 +29,76 @@
 )
 
 const (
-	// syncEvery is how often hosts tell each other all that is new, in case
-	// that a message was lost.
-	syncEvery = time.Second
-	// fewHosts is up to how many hosts each tells all others of its suspects. The
-	// messages grow with the square of the hosts.
-	fewHosts = 32
-	// lossesIfFew and lossesIfMany are the targets that a request must have been lost
-	// with. Where hosts are many suspects are known to few of them, and two losses are
-	// met by requests that are innocent.
-	lossesIfFew  = 2
-	lossesIfMany = 3
-	// repeatFor is how long something new is repeated.
-	repeatFor = 2500 * time.Millisecond
-	// syncRecords bounds the requests in one such message.
-	syncRecords = 64
-	// DefaultRetryAfter is told with a refusal.
+	// syncInterval is the interval at which recent records are sent again, because
+	// notifications may be lost.
+	syncInterval = time.Second
+	// maxFullBroadcast is the largest cluster in which each host sends records of its
+	// suspects to all others: the number of messages grows with the square of the
+	// number of hosts.
+	maxFullBroadcast = 32
+	// lossesSmallCluster and lossesLargeCluster are the numbers of lost targets that
+	// quarantine a request in clusters up to maxFullBroadcast and above it. In a large
+	// cluster only a few hosts know of a suspect, and innocent requests do meet two losses.
+	lossesSmallCluster = 2
+	lossesLargeCluster = 3
+	// repeatWindow is how long a record is repeated after its last change.
+	repeatWindow = 2500 * time.Millisecond
+	// maxSyncRecords bounds the number of records that are repeated in one round.
+	maxSyncRecords = 64
+	// DefaultRetryAfter is the retry delay returned with a refusal.
 	DefaultRetryAfter = 5 * time.Second
 )
 
 // Names of the counters in the metrics map "quarantine".
 const (
-	countSuspected   = "suspected"
-	countQuarantined = "quarantined"
-	countRefused     = "refused"
-	countCleared     = "cleared"
-	countTrials      = "trials"
-	countTrialWaits  = "trial_waits"
-	countGaveUp      = "trial_wait_gave_up"
-	countNoKeeper    = "trials_without_keeper"
-	countDropped     = "notifications_dropped"
+	countSuspected    = "suspected"
+	countQuarantined  = "quarantined"
+	countRefused      = "refused"
+	countCleared      = "cleared"
+	countTrials       = "trials"
+	countTrialWaits   = "trial_waits"
+	countWaitTimeouts = "trial_wait_gave_up"
+	countNoArbiter    = "trials_without_keeper"
+	countDropped      = "notifications_dropped"
 )
 
-// Deps is what a Quarantine works with.
+// Deps holds the dependencies and settings of a Quarantine.
 type Deps struct {
 	Link peer.Link
-	// Members returns the entry hosts that hold roles, this one included or not.
+	// Members returns the entry hosts that may hold roles. This host may be among
+	// them or not.
 	Members func() []ports.HostID
 	Metrics *metrics.Set
 	Log     *zap.Logger
-	// Limits stands for suspicion.DefaultLimits if it is zero.
+	// Limits defaults to suspicion.DefaultLimits if it is zero.
 	Limits suspicion.Limits
 }
 
-// Quarantine is one host's part. It is safe for concurrent use.
+// Quarantine tracks suspected requests on one host and shares what it knows with
+// the other hosts. It is safe for concurrent use.
 type Quarantine struct {
 	link    peer.Link
 	members func() []ports.HostID
 	count   *expvar.Map
 	log     *zap.Logger
 
-	answered answered
-	reach    reach
-	// entries is the number of requests in the tracker: while it is 0, calls take
-	// no lock here.
+	completedCache completedCache
+	reachability   reachability
+	// entries is the number of requests in the tracker. While it is 0, Admit takes
+	// no lock.
 	entries atomic.Int64
-	trials  atomic.Uint64
+	// trials numbers the trials of this host, see newTrial.
+	trials atomic.Uint64
 
 	mu      sync.Mutex
 	tracker *suspicion.Tracker
-	// changed is closed, and replaced, when something is decided.
+	// changed is closed and replaced whenever the state of any request may have
+	// changed, to wake the calls that wait for a trial.
 	changed chan struct{}
 }
 
-// New registers the message handlers with the link; Run has to be started too.
+// New returns a Quarantine and registers its message handlers on the link. The
+// caller must also start Run.
 func New(d Deps) *Quarantine {
 	if d.Limits == (suspicion.Limits{}) {
 		d.Limits = suspicion.DefaultLimits()
@@ -101,16 +114,16 @@
 	d.Metrics.Func("quarantine_entries", func() any { return q.entries.Load() })
 	peer.Handle(d.Link, kindRecords, q.onRecords)
 	peer.Handle(d.Link, kindCleared, q.onCleared)
-	peer.Handle(d.Link, kindAsk, q.onAsk)
+	peer.Handle(d.Link, kindAcquireTrial, q.onAcquireTrial)
 	peer.Handle(d.Link, kindEndTrial, q.onEndTrial)
-	peer.Handle(d.Link, kindLost, q.onLost)
+	peer.Handle(d.Link, kindTargetLost, q.onTargetLost)
 	return q
 }
 
-// Run forgets what has expired and repeats to the other hosts what is new, until
+// Run drops expired entries and repeats recent records to the other hosts until
 // ctx ends.
 func (q *Quarantine) Run(ctx context.Context) error {
-	tick := time.NewTicker(syncEvery)
+	tick := time.NewTicker(syncInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -126,46 +139,48 @@
 
 func (q *Quarantine) sync() {
 	var records []suspicion.Record
-	q.locked(func(now time.Time) { records = q.tracker.Newest(now, syncRecords) })
+	q.locked(func(now time.Time) { records = q.tracker.Newest(now, maxSyncRecords) })
 	for _, r := range records {
-		if r.Fresh(repeatFor) && q.repeats(r.Digest) {
-			q.tell(r)
+		if r.Fresh(repeatWindow) && q.shouldRepeat(r.Digest) {
+			q.share(r)
 		}
 	}
 }
 
-// repeats reports whether this host repeats what is new of a request. Where hosts are
-// many its keepers alone do: were all hosts that have heard of a quarantine to tell
-// all others again, one would cost as many messages as the square of the hosts.
-func (q *Quarantine) repeats(d suspicion.Digest) bool {
-	return len(q.members()) <= fewHosts || slices.Contains(q.keepers(d), q.link.Self())
+// shouldRepeat reports whether this host repeats recent records of a request. In a large
+// cluster only the arbiters of the request do: if every host that learned of a
+// quarantine sent it to all others again, one quarantine would cost a number of
+// messages quadratic in the number of hosts.
+func (q *Quarantine) shouldRepeat(d suspicion.Digest) bool {
+	return len(q.members()) <= maxFullBroadcast || slices.Contains(q.arbiters(d), q.link.Self())
 }
 
-// tell tells other hosts of a request: of a quarantined one all hosts, of a suspect
-// all hosts too while they are few, which holds back sends of it that are made at
-// the same moment. Where they are many, those that keep its trials are told. They
-// add up what all hosts saw of it, and tell all hosts if that makes it quarantined.
+// share sends the record of a request to other hosts. Records of quarantined requests
+// go to all hosts. In a small cluster records of suspects do too, which holds back
+// other attempts of the same request made at the same moment.
 //
-// Where targets break off calls for a reason of their own there are hundreds of suspects, and telling
-// all hosts of each would fill the links.
-func (q *Quarantine) tell(r suspicion.Record) {
-	notifyAll(q, q.audience(r.Digest, r.State), kindRecords, recordsMsg{Records: []suspicion.Record{r}})
+// In a large cluster records of suspects go to the arbiters of the request only. They
+// combine what all hosts saw and notify everyone if that quarantines the request. When
+// targets drop connections for reasons of their own, there are hundreds of suspects,
+// and sending each of them to all hosts would saturate the links.
+func (q *Quarantine) share(r suspicion.Record) {
+	notifyAll(q, q.recipients(r.Digest, r.State), kindRecords, recordsMsg{Records: []suspicion.Record{r}})
 }
 
-// audience is whom to tell of a request in some state.
-func (q *Quarantine) audience(d suspicion.Digest, s suspicion.State) []ports.HostID {
+// recipients returns the hosts that receive records of a request in the given state.
+func (q *Quarantine) recipients(d suspicion.Digest, s suspicion.State) []ports.HostID {
 	all := q.members()
-	if s == suspicion.Quarantined || len(all) <= fewHosts {
+	if s == suspicion.Quarantined || len(all) <= maxFullBroadcast {
 		return all
 	}
-	return q.keepers(d)
+	return q.arbiters(d)
 }
 
-// locked runs f under the lock and then publishes what it changed.
+// locked runs f with the tracker locked and then updates the entry count.
 func (q *Quarantine) locked(f func(now time.Time)) {
-	need := lossesIfFew
-	if len(q.members()) > fewHosts {
-		need = lossesIfMany
+	need := lossesSmallCluster
+	if len(q.members()) > maxFullBroadcast {
+		need = lossesLargeCluster
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -174,18 +189,18 @@
 	q.entries.Store(int64(q.tracker.Len()))
 }
 
-// wake lets calls that wait for a trial look again. The caller holds the lock.
-func (q *Quarantine) wake() {
+// notifyWaiters makes the calls that wait for a trial check again. The caller holds the lock.
+func (q *Quarantine) notifyWaiters() {
 	close(q.changed)
 	q.changed = make(chan struct{})
 }
 
-// broadcast notifies the other hosts.
+// broadcast sends a notification to all other hosts.
 func broadcast[M any](q *Quarantine, kind peer.Kind, msg M) {
 	notifyAll(q, q.members(), kind, msg)
 }
 
-// notifyAll notifies some hosts, this one excepted.
+// notifyAll sends a notification to the given hosts except this one.
 func notifyAll[M any](q *Quarantine, ids []ports.HostID, kind peer.Kind, msg M) {
 	for _, id := range ids {
 		if id == q.link.Self() {
@@ -197,10 +212,11 @@
 	}
 }
 
-// brokeOff takes in a run of this host that broke off.
-func (q *Quarantine) brokeOff(r suspicion.Run) {
-	q.reach.down(r.Target)
-	r.KnownGood = q.answered.has(r.Digest)
+// recordLoss records a run on this host whose connection was lost, and sends the
+// updated record to other hosts.
+func (q *Quarantine) recordLoss(r suspicion.Run) {
+	q.reachability.markDown(r.Target)
+	r.KnownGood = q.completedCache.has(r.Digest)
 	var was, is suspicion.State
 	var records []suspicion.Record
 	q.locked(func(now time.Time) {
@@ -210,10 +226,10 @@
 		if rec, ok := q.tracker.Record(now, r.Digest); ok {
 			records = append(records, rec)
 		}
-		q.wake()
+		q.notifyWaiters()
 	})
 	for _, rec := range records {
-		q.tell(rec)
+		q.share(rec)
 	}
 	if was != is {
 		q.report(r.Digest, is, r.Target)
@@ -226,43 +242,44 @@
 		event, counter = "request quarantined", countQuarantined
 	}
 	q.count.Add(counter, 1)
-	q.log.Warn(event, zap.String("digest", hex(d)), zap.String("target", string(target)))
+	q.log.Warn(event, zap.String("digest", formatDigest(d)), zap.String("target", string(target)))
 }
 
-func hex(d suspicion.Digest) string { return strconv.FormatUint(d, 16) }
+func formatDigest(d suspicion.Digest) string { return strconv.FormatUint(d, 16) }
 
-// completed takes in a run of this host that was answered in full.
-func (q *Quarantine) completed(d suspicion.Digest) {
-	q.answered.add(d)
+// recordCompletion records a run on this host that ended with a complete response.
+func (q *Quarantine) recordCompletion(d suspicion.Digest) {
+	q.completedCache.add(d)
 	if q.entries.Load() > 0 {
-		q.clear(d)
+		q.markInnocent(d)
 	}
 }
 
-// clear takes in that a request is innocent, and tells the other hosts if it
-// had been suspected.
-func (q *Quarantine) clear(d suspicion.Digest) bool {
+// markInnocent marks a request as innocent, and notifies the other hosts if it had been
+// suspected or quarantined. It reports whether it had been.
+func (q *Quarantine) markInnocent(d suspicion.Digest) bool {
 	known := false
 	var was suspicion.State
 	q.locked(func(now time.Time) {
 		was = q.tracker.State(now, d)
 		known = q.tracker.Clear(now, d)
 		if known {
-			q.wake()
+			q.notifyWaiters()
 		}
 	})
 	if known {
 		q.count.Add(countCleared, 1)
-		q.log.Info("request cleared", zap.String("digest", hex(d)))
-		notifyAll(q, q.audience(d, was), kindCleared, clearedMsg{Digests: []suspicion.Digest{d}})
+		q.log.Info("request cleared", zap.String("digest", formatDigest(d)))
+		notifyAll(q, q.recipients(d, was), kindCleared, clearedMsg{Digests: []suspicion.Digest{d}})
 	}
 	return known
 }
 
-// Forgive clears a request by an operator's word, on all hosts.
-func (q *Quarantine) Forgive(digest uint64) bool { return q.clear(digest) }
+// Clear clears a request on all hosts at the request of an operator. It reports
+// whether the request was suspected or quarantined on this host.
+func (q *Quarantine) Clear(digest uint64) bool { return q.markInnocent(digest) }
 
-// Entry is a request that is not clean, for operators.
+// Entry describes a suspected or quarantined request for operators.
 type Entry struct {
 	Digest string        `json:"digest"`
 	State  string        `json:"state"`
@@ -270,13 +287,14 @@
 	Lost   []ports.RunID `json:"lost"`
 }
 
-// List returns up to n requests that are not clean, the latest sent first.
+// List returns up to n suspected or quarantined requests, the most recently changed
+// first.
 func (q *Quarantine) List(n int) []Entry {
 	var records []suspicion.Record
 	q.locked(func(now time.Time) { records = q.tracker.Newest(now, n) })
 	out := make([]Entry, 0, len(records))
 	for _, r := range records {
-		e := Entry{Digest: hex(r.Digest), State: r.State.String(), Age: r.Age}
+		e := Entry{Digest: formatDigest(r.Digest), State: r.State.String(), Age: r.Age}
 		for _, l := range r.Losses {
 			e.Lost = append(e.Lost, l.Target)
 		}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -20,27 +20,27 @@
 	simHosts   = 15
 	simTargets = 15
 	simSlots   = 2
-	// simTrip is the time from a host's answer to the caller's next send.
-	simTrip    = 2 * time.Millisecond
-	simService = 5 * time.Millisecond
-	simRestart = 500 * time.Millisecond
-	// simGiveUp is how long a call waits for its turn.
-	simGiveUp = 2 * time.Second
+	// simRoundTrip is the time from a host's response to the caller's next send.
+	simRoundTrip = 2 * time.Millisecond
+	simService   = 5 * time.Millisecond
+	simRestart   = 500 * time.Millisecond
+	// simAdmitTimeout bounds how long a call waits in Admit.
+	simAdmitTimeout = 2 * time.Second
 )
 
-// scenario plays one script for all seeds and returns the sims for judgement
-// outside the bubbles.
-func scenario(t *testing.T, script func(s *sim, wg *sync.WaitGroup)) []*sim {
+// runScenario runs the script once for each seed and returns the simulations, so that
+// they can be checked outside of the synctest bubbles.
+func runScenario(t *testing.T, script func(s *sim, wg *sync.WaitGroup)) []*sim {
 	t.Helper()
-	return scenarioOf(t, simHosts, script)
+	return runScenarioWithHosts(t, simHosts, script)
 }
 
-func scenarioOf(t *testing.T, hosts int, script func(s *sim, wg *sync.WaitGroup)) []*sim {
+func runScenarioWithHosts(t *testing.T, hosts int, script func(s *sim, wg *sync.WaitGroup)) []*sim {
 	t.Helper()
 	var sims []*sim
 	for seed := range uint64(*simSeeds) {
 		synctest.Test(t, func(*testing.T) {
-			s := newSimOf(seed, hosts)
+			s := newSimWithHosts(seed, hosts)
 			var wg sync.WaitGroup
 			script(s, &wg)
 			wg.Wait()
@@ -52,49 +52,49 @@
 	return sims
 }
 
-func judge(t *testing.T, name string, sims []*sim, mayLose int) {
+func checkOutcome(t *testing.T, name string, sims []*sim, maxLost int) {
 	t.Helper()
 	var lost []int
 	sends, refused := 0, 0
 	var refusals int64
 	for _, s := range sims {
-		lost = append(lost, s.worst())
+		lost = append(lost, s.maxCrashed())
 		sends += s.sends
 		refused += s.refused
 		refusals += s.total(countRefused)
 	}
 	slices.Sort(lost)
-	t.Logf("%s: targets lost per poison request: median %d, most %d; attempts %d, refused %d, of innocents %d",
+	t.Logf("%s: targets lost per poison request: median %d, maximum %d; attempts %d, refused %d, innocent %d",
 		name, lost[len(lost)/2], lost[len(lost)-1], sends, refusals, refused)
-	assert.Check(t, lost[len(lost)-1] <= mayLose)
+	assert.Check(t, lost[len(lost)-1] <= maxLost)
 	assert.Equal(t, refused, 0)
 }
 
-// One caller sends a request that crashes its target, and sends it again, 300
-// times, to any host. The second target runs it alone; then every host refuses
-// it. Innocents that were cut off with it are answered at their next send.
+// A caller sends a request that crashes its target up to 300 times, each time to a
+// random host. The second target runs it as a trial, then every host refuses it.
+// Innocent requests that lost their connections with it succeed on retry.
 func TestOnePoisonRequest(t *testing.T) {
-	judge(t, "one caller", scenario(t, func(s *sim, wg *sync.WaitGroup) {
-		s.innocents(wg, 2000, 500*time.Microsecond)
-		s.poisons(wg, 1, 7)
+	checkOutcome(t, "one caller", runScenario(t, func(s *sim, wg *sync.WaitGroup) {
+		s.sendInnocent(wg, 2000, 500*time.Microsecond)
+		s.sendPoison(wg, 1, 7)
 	}), 2)
 }
 
-// Five callers send the same request again and again, four of them once its first
-// target is lost. While one send is tried alone the others wait for its end, at
-// whatever host they came in.
+// Five callers keep sending the same poison request, four of them once its first
+// target is lost. While one attempt runs as a trial, the others wait for its result,
+// whichever host they were sent to.
 func TestManySendersOfOnePoisonRequest(t *testing.T) {
-	judge(t, "five callers", scenario(t, func(s *sim, wg *sync.WaitGroup) {
-		s.innocents(wg, 2000, 500*time.Microsecond)
-		s.poisons(wg, 5, 7)
+	checkOutcome(t, "five callers", runScenario(t, func(s *sim, wg *sync.WaitGroup) {
+		s.sendInnocent(wg, 2000, 500*time.Microsecond)
+		s.sendPoison(wg, 5, 7)
 	}), 2)
 }
 
-// Three callers send the same new request at the same moment. Nothing is known of
-// it then, so each send may take a target, and the trial one more.
-func TestPoisonSentThriceAtOneMoment(t *testing.T) {
-	judge(t, "three sends at once", scenario(t, func(s *sim, wg *sync.WaitGroup) {
-		s.innocents(wg, 2000, 500*time.Microsecond)
+// Three callers send the same new poison request at the same moment. Nothing is known
+// of it yet, so each attempt may crash a target, and the trial one more.
+func TestPoisonRequestSentConcurrently(t *testing.T) {
+	checkOutcome(t, "three sends at once", runScenario(t, func(s *sim, wg *sync.WaitGroup) {
+		s.sendInnocent(wg, 2000, 500*time.Microsecond)
 		for range 3 {
 			wg.Go(func() {
 				time.Sleep(100 * time.Millisecond)
@@ -104,63 +104,63 @@
 	}), 4)
 }
 
-// At 121 hosts a request that crashes its targets is still held back after the
-// second or third, and the hosts do not tell each other of every call that broke off
-// for another reason: with each told to all, again and again, they filled their links.
+// In a large cluster a poison request is still stopped after two or three targets, and
+// hosts don't broadcast every lost connection: sending each one to all hosts, and
+// repeating it, saturated the links.
 func TestManyHosts(t *testing.T) {
 	const hosts = 121
-	sims := scenarioOf(t, hosts, func(s *sim, wg *sync.WaitGroup) {
-		s.innocents(wg, 1000, 500*time.Microsecond)
-		s.poisons(wg, 1, 7)
+	sims := runScenarioWithHosts(t, hosts, func(s *sim, wg *sync.WaitGroup) {
+		s.sendInnocent(wg, 1000, 500*time.Microsecond)
+		s.sendPoison(wg, 1, 7)
 	})
-	judge(t, "121 hosts", sims, 3)
+	checkOutcome(t, "121 hosts", sims, 3)
 	for _, s := range sims {
 		assert.Check(t, s.messages < 120*hosts, "%d messages", s.messages)
 	}
 }
 
 func TestTwoPoisonRequestsAtOnce(t *testing.T) {
-	judge(t, "two requests", scenario(t, func(s *sim, wg *sync.WaitGroup) {
-		s.innocents(wg, 2000, 500*time.Microsecond)
-		s.poisons(wg, 1, 7, 8)
+	checkOutcome(t, "two requests", runScenario(t, func(s *sim, wg *sync.WaitGroup) {
+		s.sendInnocent(wg, 2000, 500*time.Microsecond)
+		s.sendPoison(wg, 1, 7, 8)
 	}), 2)
 }
 
-// A zone's five targets die within 20 ms, twice. Calls in flight there are sent
-// again and may meet a second dying target; none of them is refused for it.
+// The five targets of an availability zone crash within 20 ms, twice. Calls in flight
+// there are retried and may hit a second crashing target; none is refused for it.
 func TestZoneLossRefusesNobody(t *testing.T) {
-	sims := scenario(t, func(s *sim, wg *sync.WaitGroup) {
-		s.innocents(wg, 4000, 500*time.Microsecond)
+	sims := runScenario(t, func(s *sim, wg *sync.WaitGroup) {
+		s.sendInnocent(wg, 4000, 500*time.Microsecond)
 		for range 2 {
 			time.Sleep(200 * time.Millisecond)
 			for _, tg := range s.targets[:5] {
-				s.lose(tg)
+				s.crash(tg)
 				time.Sleep(4 * time.Millisecond)
 			}
 			time.Sleep(simRestart)
 		}
 	})
-	judge(t, "zone loss", sims, 0)
+	checkOutcome(t, "zone loss", sims, 0)
 }
 
-// A request that crashes targets comes while a zone is dying. Which of the two
-// took a target is not to be told then, so the request may get one more trial;
-// no innocent pays for it.
-func TestPoisonDuringAZoneLoss(t *testing.T) {
-	judge(t, "poison in a zone loss", scenario(t, func(s *sim, wg *sync.WaitGroup) {
-		s.innocents(wg, 2000, 500*time.Microsecond)
-		s.poisons(wg, 1, 7)
+// A poison request arrives while an availability zone fails. The cause of each loss
+// can't be told apart then, so the request may get one more trial, but no innocent
+// request is refused.
+func TestPoisonRequestDuringZoneLoss(t *testing.T) {
+	checkOutcome(t, "poison in a zone loss", runScenario(t, func(s *sim, wg *sync.WaitGroup) {
+		s.sendInnocent(wg, 2000, 500*time.Microsecond)
+		s.sendPoison(wg, 1, 7)
 		time.Sleep(90 * time.Millisecond)
 		for _, tg := range s.targets[:5] {
-			s.lose(tg)
+			s.crash(tg)
 			time.Sleep(4 * time.Millisecond)
 		}
 	}), 3)
 }
 
-// An innocent suspect completes and is a suspect no more on any host within the
-// time of a message. A quarantined one is tried again after ten quiet minutes.
-func TestTimesToForgiveness(t *testing.T) {
+// A suspect that completes is cleared on all hosts within the delay of one message. A
+// quarantined request gets a new trial after ten minutes without attempts.
+func TestClearedAndExpiredRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSim(1)
 		defer s.stop()
@@ -190,15 +190,15 @@
 		for s.hosts[3].List(1)[0].State == "quarantined" {
 			time.Sleep(time.Second)
 		}
-		t.Logf("forgiven after %s without a send", time.Since(began))
+		t.Logf("quarantine expired after %s without attempts", time.Since(began))
 		_, d = s.hosts[3].Admit(context.Background(), 6)
 		assert.Check(t, d.Alone)
 	})
 }
 
-// Notifications from the host that saw the crash are lost. A host that has not
-// heard of it learns of it with the next exchange, within a second.
-func TestLostNotificationsAreMadeUp(t *testing.T) {
+// The notifications of the host that saw the crash are lost. The other host receives
+// the record with the next periodic repetition, within a second.
+func TestLostNotificationsAreRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSim(1)
 		defer s.stop()
@@ -218,14 +218,14 @@
 		synctest.Wait()
 		assert.Equal(t, len(b.List(1)), 0)
 		net.Heal()
-		time.Sleep(syncEvery)
+		time.Sleep(syncInterval)
 		synctest.Wait()
 		assert.Equal(t, len(b.List(1)), 1)
 	})
 }
 
-// Twenty sends of one suspect come to all hosts at once: one is tried, nineteen
-// wait, and all run as soon as it is cleared.
+// Twenty attempts of one suspect reach all hosts at once: one runs as a trial, the
+// other nineteen wait and run as soon as the request is cleared.
 func TestOneTrialAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSim(1)
--- a/quarantine/reach.go
+++ b/quarantine/reach.go
@@ -11,14 +11,14 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// reach remembers which targets this host can reach, so that a target's loss is
-// one event however many connections to it fail afterwards.
-type reach struct {
+// reachability tracks which targets this host can reach, so that the loss of a target
+// counts as one event however many connections to it fail afterwards.
+type reachability struct {
 	targets sync.Map // ports.RunID -> *atomic.Bool
 }
 
-// up notes that a target answered.
-func (r *reach) up(id ports.RunID) {
+// markUp records that a target answered.
+func (r *reachability) markUp(id ports.RunID) {
 	if v, ok := r.targets.Load(id); ok {
 		if b := v.(*atomic.Bool); !b.Load() {
 			b.Store(true)
@@ -30,16 +30,16 @@
 	r.targets.Store(id, b)
 }
 
-// down notes that a target was lost, and reports whether that is news. A target
-// that this host never tried counts as having been up: another host's word of
-// its loss is what this host would go by.
-func (r *reach) down(id ports.RunID) bool {
+// markDown records that a target was lost, and reports whether it was up before. A target
+// that this host never tried counts as up, so that a loss reported by another host is
+// taken as new.
+func (r *reachability) markDown(id ports.RunID) bool {
 	v, known := r.targets.LoadOrStore(id, new(atomic.Bool))
 	return !known || v.(*atomic.Bool).Swap(false)
 }
 
-// keep forgets all targets but these.
-func (r *reach) keep(known func(ports.RunID) bool) {
+// retain drops all targets for which known returns false.
+func (r *reachability) retain(known func(ports.RunID) bool) {
 	r.targets.Range(func(id, _ any) bool {
 		if !known(id.(ports.RunID)) {
 			r.targets.Delete(id)
@@ -48,33 +48,34 @@
 	})
 }
 
-// KeepTargets forgets what is known of targets that are no more.
-func (q *Quarantine) KeepTargets(known func(ports.RunID) bool) { q.reach.keep(known) }
+// KeepTargets drops the reachability of all targets for which known returns false. It
+// is to be called when the set of targets has changed.
+func (q *Quarantine) KeepTargets(known func(ports.RunID) bool) { q.reachability.retain(known) }
 
-// NotReached tells that no connection to the target could be made. The first
-// time it is taken for lost: idle targets tell in this way alone that a whole
-// zone is failing, and that no request is the cause.
+// NotReached reports that no connection to the target could be made. The first such
+// report counts as the loss of the target. For idle targets it is the only sign that a
+// whole availability zone is failing and that no request is the cause.
 func (a *Attempt) NotReached(target ports.RunID) {
-	if a == nil || !a.q.reach.down(target) {
+	if a == nil || !a.q.reachability.markDown(target) {
 		return
 	}
 	a.q.locked(func(now time.Time) { a.q.tracker.Lost(now, target) })
-	broadcast(a.q, kindLost, lostMsg{Target: target})
+	broadcast(a.q, kindTargetLost, targetLostMsg{Target: target})
 }
 
-func (q *Quarantine) onLost(_ context.Context, _ peer.HostID, msg lostMsg) (struct{}, error) {
-	if q.reach.down(msg.Target) {
+func (q *Quarantine) onTargetLost(_ context.Context, _ peer.HostID, msg targetLostMsg) (struct{}, error) {
+	if q.reachability.markDown(msg.Target) {
 		q.locked(func(now time.Time) { q.tracker.Lost(now, msg.Target) })
 	}
 	return struct{}{}, nil
 }
 
-// lostWith notes the targets of records as lost.
-func (q *Quarantine) lostWith(records []suspicion.Record) {
+// markLosses marks the targets that records report as recently lost.
+func (q *Quarantine) markLosses(records []suspicion.Record) {
 	for _, r := range records {
 		for _, l := range r.Losses {
-			if l.Ago < syncEvery {
-				q.reach.down(l.Target)
+			if l.Ago < syncInterval {
+				q.reachability.markDown(l.Target)
 			}
 		}
 	}
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -15,8 +15,7 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// simTarget is a model of a target: a set of runs that all break off when it
-// is lost.
+// simTarget models a target. All its runs lose their connections when it crashes.
 type simTarget struct {
 	id    ports.HostID
 	runs  int
@@ -25,7 +24,7 @@
 	lost  chan struct{}
 }
 
-// sim is a fleet of hosts with the real Quarantine, over model targets.
+// sim is a cluster of hosts that run the real Quarantine over simulated targets.
 type sim struct {
 	hosts []*Quarantine
 	stop  context.CancelFunc
@@ -33,21 +32,21 @@
 	mu      sync.Mutex
 	rng     *rand.Rand
 	targets []*simTarget
-	// killed counts targets lost to each poison request, refused the attempts
-	// refused of innocent ones.
-	killed  map[uint64]int
+	// crashed counts the targets that each poison request crashed, refused the
+	// refused attempts of innocent requests.
+	crashed map[uint64]int
 	refused int
 	sends   int
-	// messages counts those between hosts.
+	// messages counts the messages between hosts.
 	messages int
 }
 
-// newSim returns a fleet of the usual size.
-func newSim(seed uint64) *sim { return newSimOf(seed, simHosts) }
+// newSim returns a cluster of simHosts hosts.
+func newSim(seed uint64) *sim { return newSimWithHosts(seed, simHosts) }
 
-// newSimOf returns a fleet of some size.
-func newSimOf(seed uint64, hosts int) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 0)), killed: make(map[uint64]int)}
+// newSimWithHosts returns a cluster of the given number of hosts.
+func newSimWithHosts(seed uint64, hosts int) *sim {
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 0)), crashed: make(map[uint64]int)}
 	net := peernet.New()
 	net.Delay = s.delay
 	var ids []ports.HostID
@@ -73,7 +72,7 @@
 	return s
 }
 
-// delay is one way between two hosts, with some scatter.
+// delay returns a random one-way network delay and counts the message.
 func (s *sim) delay(_, _ ports.HostID) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,17 +86,17 @@
 	return s.hosts[s.rng.IntN(len(s.hosts))]
 }
 
-// take waits for a slot, alone on its target if asked.
-func (s *sim) take(alone bool) *simTarget {
+// acquireSlot waits for a free slot; with alone set, for a target without other runs.
+func (s *sim) acquireSlot(alone bool) *simTarget {
 	for {
-		if t := s.tryTake(alone); t != nil {
+		if t := s.tryAcquireSlot(alone); t != nil {
 			return t
 		}
 		time.Sleep(200 * time.Microsecond)
 	}
 }
 
-func (s *sim) tryTake(alone bool) *simTarget {
+func (s *sim) tryAcquireSlot(alone bool) *simTarget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := s.rng.IntN(len(s.targets))
@@ -113,8 +112,8 @@
 	return nil
 }
 
-// lose takes targets down, and up again later.
-func (s *sim) lose(targets ...*simTarget) {
+// crash crashes targets and restarts them after simRestart.
+func (s *sim) crash(targets ...*simTarget) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, t := range targets {
@@ -123,7 +122,7 @@
 		}
 		t.up = false
 		close(t.lost)
-		go s.noticeLoss(ports.RunID(t.id))
+		go s.reportUnreachable(ports.RunID(t.id))
 		time.AfterFunc(simRestart, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -132,17 +131,18 @@
 	}
 }
 
-// noticeLoss is an attempt of some host that finds the target gone.
-func (s *sim) noticeLoss(id ports.RunID) {
-	time.Sleep(simTrip)
+// reportUnreachable reports from a random host that no connection to the target can be made.
+func (s *sim) reportUnreachable(id ports.RunID) {
+	time.Sleep(simRoundTrip)
 	a, _ := s.host().Admit(context.Background(), 1)
 	a.NotReached(id)
 	a.Close()
 }
 
-// run takes one admitted attempt through a target; false if it broke off.
+// run runs one admitted attempt on a target. It returns false if the connection was
+// lost.
 func (s *sim) run(a *Attempt, digest uint64, alone, poison bool, work time.Duration) bool {
-	t := s.take(alone)
+	t := s.acquireSlot(alone)
 	lost := t.lost
 	a.Started(ports.RunID(t.id))
 	select {
@@ -153,9 +153,9 @@
 	}
 	if poison {
 		s.mu.Lock()
-		s.killed[digest]++
+		s.crashed[digest]++
 		s.mu.Unlock()
-		s.lose(t)
+		s.crash(t)
 		a.BrokeOff()
 		return false
 	}
@@ -169,11 +169,11 @@
 	return true
 }
 
-// send sends a request until it is answered, at most n times, each time to some
+// send sends a request until it is answered, at most n times, each time to a random
 // host.
 func (s *sim) send(digest uint64, poison bool, n int) {
 	for range n {
-		ctx, cancel := context.WithTimeout(context.Background(), simGiveUp)
+		ctx, cancel := context.WithTimeout(context.Background(), simAdmitTimeout)
 		a, d := s.host().Admit(ctx, digest)
 		cancel()
 		s.mu.Lock()
@@ -185,7 +185,7 @@
 		if !d.Refuse && s.run(a, digest, d.Alone, poison, s.work()) {
 			return
 		}
-		time.Sleep(simTrip)
+		time.Sleep(simRoundTrip)
 	}
 }
 
@@ -195,8 +195,8 @@
 	return time.Duration(s.rng.ExpFloat64() * float64(simService))
 }
 
-// innocents sends n requests at intervals, a fifth of them one common request.
-func (s *sim) innocents(wg *sync.WaitGroup, n int, every time.Duration) {
+// sendInnocent sends n requests at intervals, a fifth of which are the same request.
+func (s *sim) sendInnocent(wg *sync.WaitGroup, n int, every time.Duration) {
 	wg.Go(func() {
 		for i := range n {
 			digest := uint64(1_000_000 + i)
@@ -209,36 +209,36 @@
 	})
 }
 
-// poisons sends each of these requests from one caller and, once its first
-// target is lost and the news has gone round, from more callers.
-func (s *sim) poisons(wg *sync.WaitGroup, callers int, digests ...uint64) {
+// sendPoison sends each of these requests from one caller and, once its first target is
+// lost and the hosts have exchanged notifications, from the other callers.
+func (s *sim) sendPoison(wg *sync.WaitGroup, callers int, digests ...uint64) {
 	for _, d := range digests {
 		for i := range callers {
 			wg.Go(func() {
 				time.Sleep(100 * time.Millisecond)
-				for i > 0 && s.kills(d) == 0 {
-					time.Sleep(simTrip)
+				for i > 0 && s.targetsCrashed(d) == 0 {
+					time.Sleep(simRoundTrip)
 				}
-				time.Sleep(simTrip)
+				time.Sleep(simRoundTrip)
 				s.send(d, true, 300)
 			})
 		}
 	}
 }
 
-func (s *sim) kills(digest uint64) int {
+func (s *sim) targetsCrashed(digest uint64) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.killed[digest]
+	return s.crashed[digest]
 }
 
-// worst returns the most targets lost to one poison request.
-func (s *sim) worst() int {
-	worst := 0
-	for _, n := range s.killed {
-		worst = max(worst, n)
+// maxCrashed returns the largest number of targets that one poison request crashed.
+func (s *sim) maxCrashed() int {
+	maxCrashed := 0
+	for _, n := range s.crashed {
+		maxCrashed = max(maxCrashed, n)
 	}
-	return worst
+	return maxCrashed
 }
 
 // total returns the sum of a counter over all hosts.
@@ -252,5 +252,5 @@
 	return n
 }
 
-// simSeeds is the number of runs of each scenario; longer ones are for trials.
-var simSeeds = flag.Int("seeds", 20, "runs of each scenario")
+// simSeeds is the number of seeds that each scenario runs with.
+var simSeeds = flag.Int("seeds", 20, "number of runs of each scenario")
