--- a/controller/membership/cluster_test.go
+++ b/controller/membership/cluster_test.go
@@ -19,7 +19,7 @@
 )
 
 func TestMain(m *testing.M) {
-	// Set before parsing, so that longer runs can choose otherwise.
+	// Defaults; flags on the command line override them.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	_ = flag.Set("rapid.checks", "40")
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// gate holds up whoever waits while it is shut: a paused process.
+// gate blocks callers of wait while it is closed, to simulate a paused process.
 type gate struct {
 	mu   sync.Mutex
 	shut chan struct{}
@@ -59,7 +59,7 @@
 	}
 }
 
-// gatedLink delivers what came in during a pause when it ends.
+// gatedLink delays messages that arrive during a pause until it ends.
 type gatedLink struct {
 	peer.Link
 	gate *gate
@@ -72,7 +72,7 @@
 	})
 }
 
-// testList is the list as one host sees it.
+// testList is the host list as served to one host.
 type testList struct {
 	mu   sync.Mutex
 	snap ports.HostSnapshot
@@ -127,8 +127,8 @@
 	return out
 }
 
-// newCluster starts n hosts that are all listed, and lets them meet. It runs
-// inside a synctest bubble.
+// newCluster starts n hosts that are all listed, and waits until they know each other.
+// It must be called in a synctest bubble.
 func newCluster(t testing.TB, n int) *cluster {
 	c := &cluster{t: t, net: peernet.New(), hosts: make(map[ports.HostID]*testHost)}
 	c.net.Delay = func(_, _ peer.HostID) time.Duration { return 500 * time.Microsecond }
@@ -147,7 +147,7 @@
 	h.stop = stop
 	h.c = New(Options{
 		Host: entryHost(id), Incarnation: incarnation, Board: h.board, List: h.list,
-		Link: gatedLink{c.net.Join(id), h.gate}, hold: h.gate.wait, rules: c.rules,
+		Link: gatedLink{c.net.Join(id), h.gate}, beforeRound: h.gate.wait, rules: c.rules,
 	})
 	c.hosts[id] = h
 	go func() { h.done <- h.c.Run(ctx) }()
@@ -170,7 +170,7 @@
 	for _, id := range c.ids() {
 		c.kill(id)
 	}
-	// Messages and calls on their way end within the longest timeout.
+	// Lets messages and calls in flight end; the longest timeout is shorter.
 	time.Sleep(5 * time.Second)
 }
 
@@ -190,14 +190,14 @@
 	}
 }
 
-// state is what one host thinks of another; 0 if it does not know it.
+// state returns the state of a host in the view of another, or 0 if it is unknown there.
 func (c *cluster) state(at, of ports.HostID) blackboard.MemberState {
 	m, _ := c.hosts[at].board.Members.Load().Find(of)
 	return m.State
 }
 
-// wrong lists the running hosts whose view of a host is not as wanted.
-func (c *cluster) wrong(of ports.HostID, want blackboard.MemberState) []ports.HostID {
+// hostsNotSeeing returns the running hosts that see a host in any state but want.
+func (c *cluster) hostsNotSeeing(of ports.HostID, want blackboard.MemberState) []ports.HostID {
 	var out []ports.HostID
 	for _, at := range c.ids() {
 		if c.state(at, of) != want {
@@ -209,14 +209,16 @@
 
 func (c *cluster) allSee(of ports.HostID, want blackboard.MemberState) {
 	c.t.Helper()
-	assert.Check(c.t, len(c.wrong(of, want)) == 0, "%s should be seen as %d, but not so at %v", of, want, c.wrong(of, want))
+	assert.Check(c.t, len(c.hostsNotSeeing(of, want)) == 0,
+		"%s should be in state %d, but is not in the views of %v", of, want, c.hostsNotSeeing(of, want))
 }
 
-// timeUntil waits until all running hosts see a host as wanted.
-func (c *cluster) timeUntil(of ports.HostID, want blackboard.MemberState, limit time.Duration) time.Duration {
+// waitUntilAllSee waits until all running hosts see a host in state want, and returns how long
+// it took. It fails the test after limit.
+func (c *cluster) waitUntilAllSee(of ports.HostID, want blackboard.MemberState, limit time.Duration) time.Duration {
 	c.t.Helper()
 	start := time.Now()
-	for len(c.wrong(of, want)) > 0 && time.Since(start) < limit {
+	for len(c.hostsNotSeeing(of, want)) > 0 && time.Since(start) < limit {
 		time.Sleep(20 * time.Millisecond)
 	}
 	c.allSee(of, want)
--- a/controller/membership/controller.go
+++ b/controller/membership/controller.go
@@ -1,9 +1,15 @@
-// Package membership keeps this host's view of the entry hosts on the
-// blackboard. It joins the platform's lagging list with heartbeats between the
-// hosts themselves: up to some tens of hosts all to all, past that each host to
-// a few neighbours on a hashed ring, with changes passed on by gossip. Views of
-// two hosts may differ at any time; roles that are given by them are soft, and
-// no safety depends on them.
+// Package membership maintains this host's view of the entry hosts and publishes it on
+// the blackboard.
+//
+// The view merges the platform's host list, which lags, with a failure detector in the
+// manner of SWIM. Each host describes itself in a versioned Record. Hosts send
+// heartbeats: in a small cluster each host to all others (mesh), in a larger one to a
+// few successors on a hash ring. A host whose heartbeats stop is pinged directly and
+// through other hosts before it is suspected. Changes spread by gossip, and periodic
+// comparisons of digests (anti-entropy) repair what was lost.
+//
+// Views are eventually consistent and may differ between hosts at any time. Roles that
+// are assigned by them are advisory; no safety property may depend on them.
 package membership
 
 import (
@@ -25,74 +31,81 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Times of the protocol. A host that dies is suspected by those that watch it
-// after silentAfter, one round of beatEvery and probeTimeout at the latest.
+// Timing of the protocol. The hosts that monitor a crashed host suspect it within the
+// sum of heartbeatTimeout, heartbeatInterval and probeTimeout.
 const (
-	beatEvery    = 500 * time.Millisecond
-	silentAfter  = 1600 * time.Millisecond
-	pingTimeout  = 400 * time.Millisecond
-	probeTimeout = 2 * pingTimeout
-	// pauseAfter is the gap between two ticks that shows that this host was
-	// paused. By then others may have suspected it.
-	pauseAfter  = silentAfter
-	syncEvery   = time.Second
-	syncTimeout = time.Second
-	gossipDelay = 20 * time.Millisecond
-	forgetAfter = 30 * time.Second
-	wakeRetry   = 250 * time.Millisecond
-	// pollEvery is the least time between two reads of the list; pollPerHost
-	// makes it longer with the number of hosts, so that all hosts together
-	// read it at most 50 times a second.
-	pollEvery   = time.Second
-	pollPerHost = 20 * time.Millisecond
-	listTimeout = 3 * time.Second
-	// helpers is how many hosts are asked to ping one that does not answer.
-	helpers = 3
+	heartbeatInterval = 500 * time.Millisecond
+	heartbeatTimeout  = 1600 * time.Millisecond
+	pingTimeout       = 400 * time.Millisecond
+	probeTimeout      = 2 * pingTimeout
+	// pauseThreshold is the gap between two rounds from which on this host takes itself
+	// for having been paused. By then others may have suspected it.
+	pauseThreshold      = heartbeatTimeout
+	syncInterval        = time.Second
+	syncTimeout         = time.Second
+	gossipDelay         = 20 * time.Millisecond
+	expireAfter         = 30 * time.Second
+	resumeRetryInterval = 250 * time.Millisecond
+	// pollInterval is the minimum interval between two reads of the list. pollPerHost
+	// extends it with the number of hosts, so that all hosts together read the list
+	// at most 50 times a second.
+	pollInterval = time.Second
+	pollPerHost  = 20 * time.Millisecond
+	listTimeout  = 3 * time.Second
+	// indirectPings is the number of other hosts asked to ping a host that is silent.
+	indirectPings = 3
 )
 
-// PeerSetter learns the addresses of the hosts; peer.Node is one.
+// PeerSetter receives the addresses of the hosts. peer.Node implements it.
 type PeerSetter interface {
 	SetPeers(hosts []ports.Host)
 }
 
 // Options of a Controller.
 type Options struct {
-	// Host is this host as the others shall know it.
+	// Host describes this host to the others.
 	Host ports.Host
-	// Incarnation has to be greater than that of any earlier run on the host;
-	// NewIncarnation gives one.
+	// Incarnation must be greater than that of any earlier run on this host, see
+	// NewIncarnation.
 	Incarnation uint64
 	Link        peer.Link
-	// Peers is told the addresses of the hosts in the view; it may be nil.
+	// Peers receives the addresses of the hosts in the view; it may be nil.
 	Peers PeerSetter
 	Board *blackboard.Board
 	List  ports.HostList
-	// OnList gets each new list, for the controller of targets; it may be nil.
+	// OnList is called with each new list, for the controller of targets; it may be
+	// nil.
 	OnList  func(ports.HostSnapshot)
 	Log     *zap.Logger
 	Metrics *metrics.Set
 
-	// hold stands for a pause of the process in tests.
-	hold  func()
-	rules rules
+	// beforeRound is called before each round; tests block in it to simulate a pause of the
+	// process.
+	beforeRound func()
+	rules       rules
 }
 
-// NewIncarnation returns an incarnation for a run that starts now.
+// NewIncarnation returns the incarnation of a run that starts at now.
 func NewIncarnation(now time.Time) uint64 { return uint64(now.UnixMicro()) }
 
-// Controller writes Board.Members.
+// Controller maintains the view and writes Board.Members.
 type Controller struct {
 	opts  Options
 	count counters
-	wake  chan struct{}
+	// wake starts a round of gossip.
+	wake chan struct{}
 
-	mu      sync.Mutex
-	view    *view
-	rng     *rand.Rand
+	mu   sync.Mutex
+	view *view
+	rng  *rand.Rand
+	// changed holds the hosts whose records are due to be gossiped.
 	changed map[ports.HostID]struct{}
-	peers   []ports.Host
+	// peers is what Options.Peers was last given.
+	peers []ports.Host
+	// lastRun is the time of the last round, for detecting pauses.
 	lastRun time.Time
-	synced  time.Time
+	// synced is the time of the last comparison of views.
+	synced time.Time
 }
 
 // New returns a controller and registers its handlers on the link.
@@ -119,7 +132,7 @@
 	return c
 }
 
-// Run keeps the view until ctx ends.
+// Run runs the protocol until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error {
@@ -129,12 +142,12 @@
 		return c.opts.Board.Config.Watch(ctx, func(*declare.Config) { c.refreshOwn() })
 	})
 	g.Go(func() error { c.pollList(ctx); return nil })
-	g.Go(func() error { c.spread(ctx); return nil })
-	g.Go(func() error { c.beat(ctx, g); return nil })
+	g.Go(func() error { c.runGossip(ctx); return nil })
+	g.Go(func() error { c.runRounds(ctx, g); return nil })
 	return g.Wait()
 }
 
-// refreshOwn writes what this host says of itself into its record.
+// refreshOwn updates this host's own record from the blackboard.
 func (c *Controller) refreshOwn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,12 +163,12 @@
 		r.Config = seq
 	})
 	if changed {
-		c.noteLocked(c.view.self)
+		c.markChangedLocked(c.view.self)
 	}
 }
 
-// noteLocked marks a record to be passed on and publishes the view.
-func (c *Controller) noteLocked(id ports.HostID) {
+// markChangedLocked schedules a record for gossip and publishes the view.
+func (c *Controller) markChangedLocked(id ports.HostID) {
 	c.changed[id] = struct{}{}
 	select {
 	case c.wake <- struct{}{}:
@@ -164,7 +177,7 @@
 	c.publishLocked()
 }
 
-// publishLocked writes the view to the blackboard if it differs.
+// publishLocked writes the view to the blackboard if it has changed.
 func (c *Controller) publishLocked() {
 	next := c.view.members()
 	c.opts.Board.Members.Update(func(old *blackboard.Members) (*blackboard.Members, bool) {
@@ -190,20 +203,21 @@
 	c.opts.Peers.SetPeers(hosts)
 }
 
-// beat runs the rounds of heartbeats, probes and comparisons.
-func (c *Controller) beat(ctx context.Context, g *errgroup.Group) {
+// runRounds runs rounds of heartbeats, probes and comparisons of views until ctx ends. The
+// first round starts at a random offset, so that hosts are not in step.
+func (c *Controller) runRounds(ctx context.Context, g *errgroup.Group) {
 	c.mu.Lock()
-	offset := time.Duration(c.rng.Int64N(int64(beatEvery)))
+	offset := time.Duration(c.rng.Int64N(int64(heartbeatInterval)))
 	c.lastRun = time.Now()
 	c.mu.Unlock()
 	if !ctxtime.Sleep(ctx, offset) {
 		return
 	}
-	t := time.NewTicker(beatEvery)
+	t := time.NewTicker(heartbeatInterval)
 	defer t.Stop()
 	for {
-		if c.opts.hold != nil {
-			c.opts.hold()
+		if c.opts.beforeRound != nil {
+			c.opts.beforeRound()
 		}
 		c.round(ctx, g, time.Now())
 		select {
@@ -216,24 +230,24 @@
 
 func (c *Controller) round(ctx context.Context, g *errgroup.Group, now time.Time) {
 	c.mu.Lock()
-	woke := paused(c.lastRun, now)
+	resumed := paused(c.lastRun, now)
 	c.lastRun = now
-	if woke {
-		c.wakeLocked(now)
+	if resumed {
+		c.resumeLocked(now)
 	}
 	c.refreshOwnLocked()
-	if c.view.forget(now) {
+	if c.view.expire(now) {
 		c.publishLocked()
 	}
 	own := c.view.own().rec
-	to := c.view.heartbeatTo()
-	silent := c.silentLocked(now)
-	partners := c.partnersLocked(now)
+	to := c.view.heartbeatReceivers()
+	silent := c.dueForProbeLocked(now)
+	partners := c.syncPartnersLocked(now)
 	c.mu.Unlock()
 
 	for _, id := range to {
-		c.count.beats.Add(1)
-		if !peer.Notify(c.opts.Link, id, kindBeat, own) {
+		c.count.heartbeats.Add(1)
+		if !peer.Notify(c.opts.Link, id, kindHeartbeat, own) {
 			c.count.dropped.Add(1)
 		}
 	}
@@ -241,49 +255,51 @@
 		g.Go(func() error { c.probe(ctx, g, id); return nil })
 	}
 	for _, id := range partners {
-		g.Go(func() error { c.compare(ctx, id); return nil })
+		g.Go(func() error { c.syncWithFallback(ctx, id); return nil })
 	}
-	if woke {
-		g.Go(func() error { c.confirm(ctx); return nil })
+	if resumed {
+		g.Go(func() error { c.confirmResumed(ctx); return nil })
 	}
 }
 
-// paused compares both clocks: the monotonic one stands still while a virtual
-// machine is suspended.
+// paused reports whether the time between two rounds shows a pause of this host. It
+// compares both clocks, because the monotonic clock stops while a virtual machine is
+// suspended.
 func paused(last, now time.Time) bool {
-	return now.Sub(last) > pauseAfter || now.Round(0).Sub(last.Round(0)) > pauseAfter
+	return now.Sub(last) > pauseThreshold || now.Round(0).Sub(last.Round(0)) > pauseThreshold
 }
 
-// wakeLocked begins anew after a pause. What the others were doing meanwhile is
-// not known: they are not doubted for a silence that was this host's own, and
-// this host takes no role until one of them has answered.
-func (c *Controller) wakeLocked(now time.Time) {
-	c.count.woke.Add(1)
+// resumeLocked resumes after a pause. The state of the other hosts is unknown then: the
+// pause does not count as their silence, and this host takes no role until one of them
+// has answered.
+func (c *Controller) resumeLocked(now time.Time) {
+	c.count.resumed.Add(1)
 	c.opts.Log.Warn("host was paused")
 	for _, e := range c.view.entries {
-		e.heard = now
+		e.lastSeen = now
 	}
-	c.view.change(func(r *Record) { r.Waking = true })
-	c.noteLocked(c.view.self)
+	c.view.change(func(r *Record) { r.Resuming = true })
+	c.markChangedLocked(c.view.self)
 }
 
-// confirm asks others until one answers; the answer brings their view.
-func (c *Controller) confirm(ctx context.Context) {
+// confirmResumed syncs with other hosts until one answers, and then clears Record.Resuming. A
+// host without others in its view is confirmed at once.
+func (c *Controller) confirmResumed(ctx context.Context) {
 	for {
 		c.mu.Lock()
-		ids := sample(c.rng, c.view.others(nil), helpers)
+		ids := sample(c.rng, c.view.others(nil), indirectPings)
 		c.mu.Unlock()
 		if len(ids) == 0 || c.anySync(ctx, ids) {
 			break
 		}
-		if !ctxtime.Sleep(ctx, wakeRetry) {
+		if !ctxtime.Sleep(ctx, resumeRetryInterval) {
 			return
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.view.change(func(r *Record) { r.Waking = false }) {
-		c.noteLocked(c.view.self)
+	if c.view.change(func(r *Record) { r.Resuming = false }) {
+		c.markChangedLocked(c.view.self)
 	}
 }
 
@@ -299,15 +315,15 @@
 	return ok
 }
 
-// silentLocked returns the hosts that are due for a probe: those watched, and
-// those that were silent when they were watched. The latter are told to nobody,
-// so nobody would refute it.
-func (c *Controller) silentLocked(now time.Time) []ports.HostID {
+// dueForProbeLocked marks and returns the hosts that are due for a probe: silent hosts that
+// this host monitors, and hosts that it still holds for silent from when it monitored
+// them. The latter suspicion is local, so no other host would ever refute it.
+func (c *Controller) dueForProbeLocked(now time.Time) []ports.HostID {
 	var out []ports.HostID
 	silent := c.view.others(func(e *entry) bool { return e.silent })
-	for _, id := range union(c.view.watched(), silent) {
+	for _, id := range union(c.view.monitored(), silent) {
 		e := c.view.entries[id]
-		if e.probing || e.rec.Suspected || now.Sub(e.heard) < silentAfter {
+		if e.probing || e.rec.Suspected || now.Sub(e.lastSeen) < heartbeatTimeout {
 			continue
 		}
 		e.probing = true
@@ -316,11 +332,11 @@
 	return out
 }
 
-// partnersLocked returns the hosts to compare views with in this round.
-func (c *Controller) partnersLocked(now time.Time) []ports.HostID {
-	if now.Sub(c.synced) < syncEvery {
+// syncPartnersLocked returns the hosts to compare views with in this round, if any.
+func (c *Controller) syncPartnersLocked(now time.Time) []ports.HostID {
+	if now.Sub(c.synced) < syncInterval {
 		return nil
 	}
 	c.synced = now
-	return c.view.partners(c.rng)
+	return c.view.syncPartners(c.rng)
 }
--- a/controller/membership/exchange.go
+++ b/controller/membership/exchange.go
@@ -16,12 +16,12 @@
 
 func (c *Controller) register() {
 	l := c.opts.Link
-	peer.Handle(l, kindBeat, func(_ context.Context, from peer.HostID, r Record) (struct{}, error) {
-		c.onBeat(from, r)
+	peer.Handle(l, kindHeartbeat, func(_ context.Context, from peer.HostID, r Record) (struct{}, error) {
+		c.onHeartbeat(from, r)
 		return struct{}{}, nil
 	})
 	peer.Handle(l, kindGossip, func(_ context.Context, _ peer.HostID, m gossipMsg) (struct{}, error) {
-		c.take(m.Records)
+		c.mergeRecords(m.Records)
 		return struct{}{}, nil
 	})
 	peer.Handle(l, kindSync, func(_ context.Context, from peer.HostID, m syncMsg) (syncReply, error) {
@@ -37,30 +37,30 @@
 	})
 }
 
-// onBeat takes a heartbeat. If this host holds a doubt about its sender, the
-// sender is told, so that it can refute it.
-func (c *Controller) onBeat(from peer.HostID, r Record) {
+// onHeartbeat handles a heartbeat. If this host suspects the sender, it sends the suspicion
+// back, so that the sender can refute it.
+func (c *Controller) onHeartbeat(from peer.HostID, r Record) {
 	if from != r.ID {
 		return
 	}
 	c.mu.Lock()
-	doubt := c.hearLocked(r)
+	suspicion := c.mergeDirectLocked(r)
 	c.mu.Unlock()
-	if doubt != nil {
-		peer.Notify(c.opts.Link, from, kindGossip, gossipMsg{Records: []Record{*doubt}})
+	if suspicion != nil {
+		peer.Notify(c.opts.Link, from, kindGossip, gossipMsg{Records: []Record{*suspicion}})
 	}
 }
 
-// hearLocked takes what a host says of itself and returns the record that
-// doubts it, if there is one.
-func (c *Controller) hearLocked(r Record) *Record {
-	c.takeLocked(r)
+// mergeDirectLocked merges a record that came from the host it describes, and marks the host
+// as alive. If a suspicion of the host remains, mergeDirectLocked returns that record.
+func (c *Controller) mergeDirectLocked(r Record) *Record {
+	c.mergeLocked(r)
 	e := c.view.entries[r.ID]
 	if e == nil || r.ID == c.view.self || r.Incarnation < e.rec.Incarnation {
 		return nil
 	}
 	was := e.silent
-	e.alive(time.Now())
+	e.markAlive(time.Now())
 	if was {
 		c.publishLocked()
 	}
@@ -71,12 +71,13 @@
 	return &rec
 }
 
-// take merges records that came from another host.
-func (c *Controller) take(recs []Record) {
+// mergeRecords merges records received from another host, and sends contested suspicions to
+// the suspected hosts, which refute them.
+func (c *Controller) mergeRecords(recs []Record) {
 	var contested []Record
 	c.mu.Lock()
 	for _, r := range recs {
-		if c.takeLocked(r) != mergeContested {
+		if c.mergeLocked(r) != mergeContested {
 			continue
 		}
 		if !r.Suspected {
@@ -91,22 +92,22 @@
 	}
 }
 
-func (c *Controller) takeLocked(r Record) merged {
+func (c *Controller) mergeLocked(r Record) mergeResult {
 	res := c.view.merge(r, time.Now())
 	switch res {
 	case mergeNew:
-		c.noteLocked(r.ID)
+		c.markChangedLocked(r.ID)
 	case mergeRefuted:
 		c.count.refuted.Add(1)
-		c.noteLocked(c.view.self)
+		c.markChangedLocked(c.view.self)
 	}
 	return res
 }
 
-// spread passes changed records on until ctx ends. What this host says of
-// itself goes to all others, or past some tens of hosts to its watchers; what
-// it heard goes to a few neighbours.
-func (c *Controller) spread(ctx context.Context) {
+// runGossip gossips changed records until ctx ends. A change of this host's own record
+// goes to all others in a mesh, or to its watchers on the ring; changes received from
+// others go to a few neighbours.
+func (c *Controller) runGossip(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -145,7 +146,7 @@
 	}
 	to := sample(c.rng, c.view.neighbours(), gossipFanout)
 	if own {
-		to = union(to, c.view.heartbeatTo())
+		to = union(to, c.view.heartbeatReceivers())
 	}
 	return recs, to
 }
@@ -156,12 +157,12 @@
 	return slices.Compact(all)
 }
 
-// onSync answers a comparison of views.
+// onSync handles a comparison of views.
 func (c *Controller) onSync(from peer.HostID, m syncMsg) syncReply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m.From.ID == from {
-		c.hearLocked(m.From)
+		c.mergeDirectLocked(m.From)
 	}
 	if m.Digest == c.view.digest() {
 		return syncReply{}
@@ -169,10 +170,10 @@
 	return syncReply{Records: c.view.records()}
 }
 
-// compare compares views with a host or, if it does not answer, with any other.
-// A host that comes while its neighbours on the ring are dead would otherwise
-// ask nobody who knows that.
-func (c *Controller) compare(ctx context.Context, id ports.HostID) {
+// syncWithFallback compares views with a host or, if that does not answer, with a random other
+// one. A host that joins while its neighbours on the ring are dead would otherwise
+// reach nobody who knows that they are.
+func (c *Controller) syncWithFallback(ctx context.Context, id ports.HostID) {
 	if c.syncWith(ctx, id) {
 		return
 	}
@@ -184,7 +185,7 @@
 	}
 }
 
-// syncWith compares views with one host and takes what it has newer. It
+// syncWith compares views with one host and merges its records if they differ. It
 // reports whether the host answered.
 func (c *Controller) syncWith(ctx context.Context, id ports.HostID) bool {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
@@ -200,14 +201,14 @@
 	if len(reply.Records) > 0 {
 		c.count.syncDiffers.Add(1)
 	}
-	c.take(reply.Records)
+	c.mergeRecords(reply.Records)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e := c.view.entries[id]; e != nil && e.silent {
-		e.alive(time.Now())
+		e.markAlive(time.Now())
 		c.publishLocked()
 	} else if e != nil {
-		e.alive(time.Now())
+		e.markAlive(time.Now())
 	}
 	return true
 }
@@ -218,12 +219,12 @@
 	return peer.Call[Record](ctx, c.opts.Link, id, kindPing, pingMsg{})
 }
 
-// probe asks a silent host directly and through others before it is suspected:
-// a cut between two hosts, or one direction of it, is no reason to take roles
+// probe pings a silent host directly and through others before it is suspected. A
+// failed link between two hosts, in one or both directions, is no reason to take roles
 // from a host that all others reach.
 func (c *Controller) probe(ctx context.Context, g *errgroup.Group, id ports.HostID) {
 	c.count.probes.Add(1)
-	ans := c.reach(ctx, id)
+	ans := c.pingDirectAndIndirect(ctx, id)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e := c.view.entries[id]
@@ -232,70 +233,74 @@
 	}
 	e.probing = false
 	if ans.rec != nil {
-		c.hearLocked(*ans.rec)
+		c.mergeDirectLocked(*ans.rec)
 		return
 	}
 	now := time.Now()
-	if paused(c.lastRun, now) || now.Sub(e.heard) < silentAfter {
+	if paused(c.lastRun, now) || now.Sub(e.lastSeen) < heartbeatTimeout {
 		return
 	}
 	if !c.suspectLocked(id, ans.confirmed) {
 		return
 	}
-	// The hosts before it on the ring are this host's to watch now. When many
-	// died at once, waiting for the next round each time would add up.
-	for _, next := range c.silentLocked(now) {
+	// With the suspect off the ring, this host monitors the hosts before it. They
+	// are probed at once: when many hosts crash together, waiting for the next
+	// round each time would add up.
+	for _, next := range c.dueForProbeLocked(now) {
 		g.Go(func() error { c.probe(ctx, g, next); return nil })
 	}
 }
 
-// suspectLocked doubts a host. Others are told only if one of them answered
-// that it could not reach the host either. A host that is itself cut off gets
-// no such answer; it keeps its doubts to itself, and does not come back with
-// doubts about everyone. It reports whether others are told.
-func (c *Controller) suspectLocked(id ports.HostID, told bool) bool {
-	if !c.view.suspect(id, told) {
+// suspectLocked marks a host that did not answer as suspected. The suspicion is gossiped
+// only if another host answered that it could not reach the suspect either. A host that is
+// itself partitioned gets no such answer; its suspicions stay local, so that it does not
+// return from the partition with suspicions of all others. suspectLocked reports whether a
+// new suspicion is gossiped.
+func (c *Controller) suspectLocked(id ports.HostID, gossiped bool) bool {
+	if !c.view.suspect(id, gossiped) {
 		return false
 	}
 	c.count.suspected.Add(1)
-	c.opts.Log.Info("host suspected", zap.String("host", string(id)), zap.Bool("told", told))
-	if told {
-		c.noteLocked(id)
+	c.opts.Log.Info("host suspected", zap.String("host", string(id)), zap.Bool("told", gossiped))
+	if gossiped {
+		c.markChangedLocked(id)
 	} else {
 		c.publishLocked()
 	}
-	return told
+	return gossiped
 }
 
-// answer is what became of a ping.
-type answer struct {
-	// rec is the record of the host if it was reached.
+// pingResult is the result of a ping.
+type pingResult struct {
+	// rec is the record of the pinged host, or nil if it was not reached.
 	rec *Record
-	// confirmed is set if another host answered that it could not reach it.
+	// confirmed is set if another host answered that it could not reach the host
+	// either.
 	confirmed bool
 }
 
-// reach pings a host directly and through helpers at the same time.
-func (c *Controller) reach(ctx context.Context, id ports.HostID) answer {
+// pingDirectAndIndirect pings a host directly and through other hosts at the same time. It
+// returns the first reply of the host itself.
+func (c *Controller) pingDirectAndIndirect(ctx context.Context, id ports.HostID) pingResult {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	c.mu.Lock()
-	via := c.view.others(func(e *entry) bool { return e.rec.ID != id && !e.doubted() })
-	via = sample(c.rng, via, helpers)
+	via := c.view.others(func(e *entry) bool { return e.rec.ID != id && !e.unreachable() })
+	via = sample(c.rng, via, indirectPings)
 	c.mu.Unlock()
-	answers := make(chan answer, len(via)+1)
+	answers := make(chan pingResult, len(via)+1)
 	go func() {
 		rec, err := c.ping(ctx, id)
-		ans := answerOf(rec, err)
+		ans := pingResultOf(rec, err)
 		ans.confirmed = false
 		answers <- ans
 	}()
 	for _, h := range via {
 		go func() {
-			answers <- answerOf(peer.Call[Record](ctx, c.opts.Link, h, kindPingVia, pingViaMsg{ID: id}))
+			answers <- pingResultOf(peer.Call[Record](ctx, c.opts.Link, h, kindPingVia, pingViaMsg{ID: id}))
 		}()
 	}
-	var all answer
+	var all pingResult
 	for range len(via) + 1 {
 		ans := <-answers
 		if ans.rec != nil {
@@ -306,9 +311,9 @@
 	return all
 }
 
-func answerOf(rec Record, err error) answer {
+func pingResultOf(rec Record, err error) pingResult {
 	if err == nil {
-		return answer{rec: &rec}
+		return pingResult{rec: &rec}
 	}
-	return answer{confirmed: errors.Is(err, peer.ErrRemote)}
+	return pingResult{confirmed: errors.Is(err, peer.ErrRemote)}
 }
--- a/controller/membership/faults_test.go
+++ b/controller/membership/faults_test.go
@@ -13,14 +13,14 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Bounds that docs/design/membership.md states.
+// Bounds stated in docs/design/membership.md.
 const (
 	detectWithin = 3 * time.Second
 	spreadWithin = 3 * time.Second
 )
 
-// inCluster runs a test on n hosts that have met, in virtual time.
-func inCluster(t *testing.T, n int, f func(c *cluster)) {
+// runInCluster runs f in virtual time on a cluster of n hosts that know each other.
+func runInCluster(t *testing.T, n int, f func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, n)
@@ -29,34 +29,34 @@
 	})
 }
 
-// One or five of 15 hosts die at once and stay in the lagging list. The others
-// suspect exactly those; once the list drops them they are forgotten.
+// One or five of 15 hosts crash at once and stay in the lagging list. The others suspect
+// exactly those, and drop them some time after the list does.
 func TestHostsThatDie(t *testing.T) {
 	for _, n := range []int{1, 5} {
-		inCluster(t, 15, func(c *cluster) {
+		runInCluster(t, 15, func(c *cluster) {
 			for i := range n {
 				c.kill(hostID(i))
 			}
 			var took time.Duration
 			for i := range n {
-				took += c.timeUntil(hostID(i), blackboard.MemberSuspected, detectWithin-took)
+				took += c.waitUntilAllSee(hostID(i), blackboard.MemberSuspected, detectWithin-took)
 			}
 			t.Logf("%d of 15 hosts: suspected by all after %v", n, took)
 			for i := n; i < 15; i++ {
 				c.allSee(hostID(i), blackboard.MemberLive)
 			}
 			c.setLists(entryHosts(15)[n:])
-			time.Sleep(forgetAfter + 5*time.Second)
+			time.Sleep(expireAfter + 5*time.Second)
 			c.allSee(hostID(0), 0)
 		})
 	}
 }
 
-// A host is paused for 20 s and wakes with old messages waiting for it. The
-// others suspect it meanwhile. When it wakes it does not trust itself with a
-// role, and suspects nobody for its own silence; after one answer all is well.
-func TestPausedHostWakes(t *testing.T) {
-	inCluster(t, 7, func(c *cluster) {
+// A host is paused for 20 s and resumes with old messages queued. The others suspect it
+// meanwhile. After the pause it takes no role, and suspects no other host for the
+// silence, until one of them has answered; then it is live again everywhere.
+func TestPausedHostResumes(t *testing.T) {
+	runInCluster(t, 7, func(c *cluster) {
 		h := c.hosts[hostID(2)]
 		h.gate.close()
 		time.Sleep(20 * time.Second)
@@ -79,7 +79,7 @@
 		time.Sleep(time.Second)
 		stop()
 		assert.NilError(t, <-watched)
-		assert.Equal(t, h.c.count.woke.Value(), int64(1))
+		assert.Equal(t, h.c.count.resumed.Value(), int64(1))
 		assert.Equal(t, h.c.count.suspected.Value(), int64(0))
 		assert.Check(t, len(states) >= 3 && states[1] == blackboard.MemberSuspected, "own states: %v", states)
 		for _, id := range c.ids() {
@@ -88,10 +88,10 @@
 	})
 }
 
-// A host wakes in a cut-off part of the network: nobody answers, so it takes no
-// role, until the network heals.
-func TestHostThatWakesAloneTakesNoRole(t *testing.T) {
-	inCluster(t, 5, func(c *cluster) {
+// A host is partitioned from all others during a pause. Nobody answers when it resumes,
+// so it takes no role until the partition heals.
+func TestHostResumingInPartitionTakesNoRole(t *testing.T) {
+	runInCluster(t, 5, func(c *cluster) {
 		h := c.hosts[hostID(0)]
 		h.gate.close()
 		time.Sleep(5 * time.Second)
@@ -104,14 +104,14 @@
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, c.state(hostID(0), hostID(0)), blackboard.MemberSuspected)
 		c.net.Heal()
-		c.timeUntil(hostID(0), blackboard.MemberLive, spreadWithin)
+		c.waitUntilAllSee(hostID(0), blackboard.MemberLive, spreadWithin)
 	})
 }
 
-// The network loses what one host sends to another, in one direction. The
-// receiver asks through others and nobody is suspected, for as long as it lasts.
+// The network drops all messages from one host to another, in one direction. Indirect
+// pings succeed, so neither host is ever suspected.
 func TestCutOneWayBetweenTwoHosts(t *testing.T) {
-	inCluster(t, 15, func(c *cluster) {
+	runInCluster(t, 15, func(c *cluster) {
 		c.net.Cut(hostID(3), hostID(4))
 		for range 30 {
 			time.Sleep(500 * time.Millisecond)
@@ -121,11 +121,11 @@
 	})
 }
 
-// Three of 15 hosts are cut off for a while and think that all others are gone.
-// When they are back their doubts do not spread: no host of the greater part is
-// ever suspected by another host of that part.
-func TestDoubtsOfCutOffHostsDoNotSpread(t *testing.T) {
-	inCluster(t, 15, func(c *cluster) {
+// Three of 15 hosts are partitioned and suspect all others. After the partition heals
+// their suspicions don't spread: no host of the majority is ever suspected by another
+// host of the majority.
+func TestSuspicionsOfPartitionedHostsDoNotSpread(t *testing.T) {
+	runInCluster(t, 15, func(c *cluster) {
 		for i := range 3 {
 			for j := 3; j < 15; j++ {
 				c.net.Cut(hostID(i), hostID(j))
@@ -150,15 +150,15 @@
 	})
 }
 
-// The list is out, and behind: a new host knows the list, but the others do not
-// find it there. They learn of it from its heartbeats, and drop nobody.
+// The list is unavailable to all hosts but a new one, which is not in the list that the
+// others last read. They learn of it from its heartbeats, and drop no host.
 func TestListBehindOrOut(t *testing.T) {
-	inCluster(t, 7, func(c *cluster) {
+	runInCluster(t, 7, func(c *cluster) {
 		for _, h := range c.hosts {
 			h.list.fail(errors.New("outage"))
 		}
 		c.start(hostID(7), 1, entryHosts(8))
-		c.timeUntil(hostID(7), blackboard.MemberLive, spreadWithin)
+		c.waitUntilAllSee(hostID(7), blackboard.MemberLive, spreadWithin)
 		time.Sleep(time.Minute)
 		for _, id := range c.ids() {
 			c.allSee(id, blackboard.MemberLive)
@@ -166,8 +166,8 @@
 	})
 }
 
-// Each host is shown another part of the list. Heartbeats and gossip complete
-// the views.
+// Each host is served a different part of the list. Heartbeats and gossip complete the
+// views.
 func TestListsThatDisagree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, 0)
@@ -183,44 +183,44 @@
 	})
 }
 
-// A host says that it leaves, or is marked in the list of a single host. Its
-// mark is seen everywhere and stays for this run, also if the list shows it as
-// live again; only a restarted daemon is live again.
+// One host reports itself as leaving, another is marked as leaving in the list. Both are
+// seen as leaving everywhere for the rest of their run, even after the list shows them
+// as live again; only a restarted daemon is live.
 func TestLeavingStaysForTheRun(t *testing.T) {
-	inCluster(t, 7, func(c *cluster) {
+	runInCluster(t, 7, func(c *cluster) {
 		c.hosts[hostID(1)].board.Status.Update(func(s blackboard.Status) (blackboard.Status, bool) {
 			s.Leaving = true
 			return s, true
 		})
-		spent := c.timeUntil(hostID(1), blackboard.MemberLeaving, spreadWithin)
+		spent := c.waitUntilAllSee(hostID(1), blackboard.MemberLeaving, spreadWithin)
 		assert.Check(t, spent < 100*time.Millisecond, "took %v", spent)
 		marked := entryHosts(7)
 		marked[2].State = ports.HostLeaving
 		c.setLists(marked)
-		c.timeUntil(hostID(2), blackboard.MemberLeaving, spreadWithin)
+		c.waitUntilAllSee(hostID(2), blackboard.MemberLeaving, spreadWithin)
 		c.setLists(entryHosts(7))
 		time.Sleep(10 * time.Second)
 		c.allSee(hostID(1), blackboard.MemberLeaving)
 		c.allSee(hostID(2), blackboard.MemberLeaving)
 		c.kill(hostID(1))
 		c.start(hostID(1), 2, entryHosts(7))
-		c.timeUntil(hostID(1), blackboard.MemberLive, spreadWithin)
+		c.waitUntilAllSee(hostID(1), blackboard.MemberLive, spreadWithin)
 	})
 }
 
-// A host is replaced by one with a new ID; a daemon is restarted, with a clock
-// that went back. Both are live for all within the bound.
+// A host is replaced by one with a new ID, then the new one restarts with its clock set
+// back. All see it as live within the bound both times.
 func TestReplacedAndRestarted(t *testing.T) {
-	inCluster(t, 7, func(c *cluster) {
+	runInCluster(t, 7, func(c *cluster) {
 		c.kill(hostID(0))
 		list := append(entryHosts(7)[1:], entryHost("new"))
 		c.setLists(list)
 		c.start("new", 1, list)
-		c.timeUntil("new", blackboard.MemberLive, spreadWithin)
-		c.timeUntil(hostID(0), blackboard.MemberSuspected, detectWithin)
+		c.waitUntilAllSee("new", blackboard.MemberLive, spreadWithin)
+		c.waitUntilAllSee(hostID(0), blackboard.MemberSuspected, detectWithin)
 		c.kill("new")
 		c.start("new", 0, list)
-		c.timeUntil("new", blackboard.MemberLive, spreadWithin)
+		c.waitUntilAllSee("new", blackboard.MemberLive, spreadWithin)
 		time.Sleep(5 * time.Second)
 		c.allSee("new", blackboard.MemberLive)
 		m, _ := c.hosts[hostID(3)].board.Members.Load().Find("new")
@@ -229,27 +229,28 @@
 	})
 }
 
-// Past some tens of hosts each one is watched by a few. All still learn of a
-// death, of hosts lost together, and of leaving, within the same bounds.
+// In a cluster larger than meshHosts each host is monitored by a few others. All hosts
+// still learn within the same bounds that a host is leaving and that five adjacent ones
+// crashed together.
 func TestRing(t *testing.T) {
 	for _, n := range []int{50, 100} {
-		inCluster(t, n, func(c *cluster) {
+		runInCluster(t, n, func(c *cluster) {
 			h := c.hosts[hostID(0)].c
 			h.mu.Lock()
-			watchers := h.view.heartbeatTo()
+			watchers := h.view.heartbeatReceivers()
 			h.mu.Unlock()
 			assert.Equal(t, len(watchers), ringWatchers)
 			for _, id := range c.ids() {
 				c.allSee(id, blackboard.MemberLive)
 			}
 			c.hosts[hostID(1)].board.Status.Store(blackboard.Status{Leaving: true})
-			left := c.timeUntil(hostID(1), blackboard.MemberLeaving, spreadWithin)
+			left := c.waitUntilAllSee(hostID(1), blackboard.MemberLeaving, spreadWithin)
 			c.kill(hostID(2), hostID(3), hostID(4), hostID(5), hostID(6))
 			var died time.Duration
 			for i := 2; i <= 6; i++ {
-				died += c.timeUntil(hostID(i), blackboard.MemberSuspected, detectWithin+spreadWithin-died)
+				died += c.waitUntilAllSee(hostID(i), blackboard.MemberSuspected, detectWithin+spreadWithin-died)
 			}
-			t.Logf("%d hosts: leaving known to all after %v, five deaths after %v", n, left, died)
+			t.Logf("%d hosts: leaving known to all after %v, five crashes after %v", n, left, died)
 			for i := 7; i < n; i++ {
 				c.allSee(hostID(i), blackboard.MemberLive)
 			}
@@ -257,11 +258,11 @@
 	}
 }
 
-// The network splits 50 hosts into two parts for 20 s. Each part suspects the
-// other, and both have to find each other again without the list's help.
+// A partition splits 50 hosts into two parts for 20 s. Each part suspects the other, and
+// both must find each other again without a change of the list.
 func TestRingHealsAfterASplit(t *testing.T) {
 	for _, first := range []int{3, 25} {
-		inCluster(t, 50, func(c *cluster) {
+		runInCluster(t, 50, func(c *cluster) {
 			for i := range first {
 				for j := first; j < 50; j++ {
 					c.net.Cut(hostID(i), hostID(j))
@@ -274,9 +275,9 @@
 			c.net.Heal()
 			var took time.Duration
 			for _, id := range c.ids() {
-				took += c.timeUntil(id, blackboard.MemberLive, convergeWithin-took)
+				took += c.waitUntilAllSee(id, blackboard.MemberLive, convergeWithin-took)
 			}
-			t.Logf("%d and %d hosts: views agree %v after the split", first, 50-first, took)
+			t.Logf("%d and %d hosts: views agree %v after the partition healed", first, 50-first, took)
 		})
 	}
 }
--- a/controller/membership/list.go
+++ b/controller/membership/list.go
@@ -10,8 +10,8 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// pollList reads the platform's list again and again. While it can not be read
-// the last one stays in force.
+// pollList reads the platform's list periodically until ctx ends. If a read fails, the
+// last list stays in force.
 func (c *Controller) pollList(ctx context.Context) {
 	var known uint64
 	for {
@@ -22,11 +22,12 @@
 	}
 }
 
-// pollWait spreads the reads of all hosts by a fifth either way.
+// pollWait returns the time until the next read, with a jitter of a fifth either way
+// so that the reads of all hosts spread out.
 func (c *Controller) pollWait() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d := max(pollEvery, time.Duration(len(c.view.entries))*pollPerHost)
+	d := max(pollInterval, time.Duration(len(c.view.entries))*pollPerHost)
 	return d*4/5 + time.Duration(c.rng.Int64N(int64(d*2/5)))
 }
 
@@ -37,13 +38,13 @@
 	switch {
 	case err != nil:
 		c.count.listFailed.Add(1)
-		c.opts.Log.Warn("host list not read", zap.Error(err))
+		c.opts.Log.Warn("failed to read the host list", zap.Error(err))
 		return known
 	case snap.Unchanged:
 		return known
 	case snap.Version < known:
-		// A reader may be served an older list than before. Taking it would
-		// bring back hosts that are gone and marks that were cleared.
+		// The platform may serve an older list than before. Applying it would
+		// bring back hosts that are gone and leaving marks that were cleared.
 		c.count.listOld.Add(1)
 		return known
 	}
--- a/controller/membership/messages.go
+++ b/controller/membership/messages.go
@@ -7,37 +7,37 @@
 
 // Kinds of messages between membership controllers.
 const (
-	kindBeat = peer.KindMembership + iota
+	kindHeartbeat = peer.KindMembership + iota
 	kindGossip
 	kindSync
 	kindPing
 	kindPingVia
 )
 
-// Record is what hosts tell each other about one entry host. Its own host
-// writes a new Seq with each change; others add only Suspected.
+// Record is the state of one entry host as exchanged between hosts. Only the host itself
+// changes its record, with a new Seq each time; the others may only set Suspected.
 type Record struct {
 	ID       ports.HostID `msgpack:"id"`
 	Zone     string       `msgpack:"z"`
 	Region   string       `msgpack:"r,omitempty"`
 	Addr     string       `msgpack:"a"`
 	PeerAddr string       `msgpack:"p"`
-	// Incarnation grows with each run of the daemon, Seq with each change
+	// Incarnation increases with each run of the daemon, Seq with each change
 	// within a run.
 	Incarnation uint64 `msgpack:"i"`
 	Seq         uint64 `msgpack:"s"`
-	// Config is the sequence of the configuration in force.
+	// Config is the sequence number of the configuration in force on the host.
 	Config  uint64 `msgpack:"c"`
 	Ready   bool   `msgpack:"y,omitempty"`
 	Leaving bool   `msgpack:"l,omitempty"`
-	// Waking is set from the end of a pause until a peer has answered.
-	Waking bool `msgpack:"w,omitempty"`
-	// Suspected says that a host could not reach it at this Seq.
+	// Resuming is set from the end of a pause of the host until a peer has answered it.
+	Resuming bool `msgpack:"w,omitempty"`
+	// Suspected is set if the host did not answer pings while it had this Seq.
 	Suspected bool `msgpack:"x,omitempty"`
 }
 
-// newer orders records of one host. A suspicion outranks the record that it
-// doubts; the doubted host outranks it by a higher Seq.
+// newer reports whether r supersedes another record of the same host. A suspicion
+// supersedes the record it refers to; the suspected host refutes it with a higher Seq.
 func (r Record) newer(than Record) bool {
 	if r.Incarnation != than.Incarnation {
 		return r.Incarnation > than.Incarnation
@@ -64,14 +64,14 @@
 	Records []Record
 }
 
-// syncMsg asks for all records if the digests differ. The sender's record
-// makes it known to a host that has not heard of it.
+// syncMsg requests all records if the digests differ. From is the sender's record, which
+// introduces it to a host that does not know it yet.
 type syncMsg struct {
 	Digest uint64
 	From   Record
 }
 
-// syncReply is empty if the digests agree.
+// syncReply has all records of the receiver of a syncMsg, or none if the digests agree.
 type syncReply struct {
 	Records []Record
 }
--- a/controller/membership/neighbours.go
+++ b/controller/membership/neighbours.go
@@ -10,70 +10,77 @@
 )
 
 const (
-	// meshHosts is up to how many hosts each one heartbeats all others.
+	// meshHosts is the largest cluster in which each host sends heartbeats to all
+	// others.
 	meshHosts = 30
-	// ringWatchers is how many hosts hear each host's heartbeats past that.
+	// ringWatchers is the number of hosts that receive each host's heartbeats in a
+	// larger cluster.
 	ringWatchers = 6
-	// gossipFanout is how many hosts a change is passed on to.
+	// gossipFanout is the number of hosts that a change is forwarded to.
 	gossipFanout = 4
-	// strangerEvery is how often, in comparisons of views, a host asks any
-	// other and not a neighbour, even if it doubts none.
-	strangerEvery = 10
+	// randomPartnerEvery makes one in so many comparisons of views go to a random host
+	// in place of a neighbour, even if the random host is not suspected.
+	randomPartnerEvery = 10
 )
 
+// mesh reports whether the cluster is small enough for heartbeats from all to all.
 func (v *view) mesh() bool { return len(v.entries) <= cmp.Or(v.rules.meshHosts, meshHosts) }
 
+// watchers returns the number of hosts that monitor each host on the ring.
 func (v *view) watchers() int { return cmp.Or(v.rules.watchers, ringWatchers) }
 
-// ring leaves out suspected hosts, which would be watchers that do not watch. A
-// host that is only silent to this one stays on it and is probed again: if this
-// host is its last watcher, nobody else would ever tell that it is gone.
+// ring returns the hash ring of the view. Suspected hosts are left out, because they
+// would not monitor their predecessors. A host that only this one holds for silent stays
+// on the ring and is probed again: if this host is its last watcher, no other would ever
+// report its failure.
 func (v *view) ring() ring.Ring {
-	ids := v.others(func(e *entry) bool { return !e.rec.Suspected && !e.rec.Waking })
+	ids := v.others(func(e *entry) bool { return !e.rec.Suspected && !e.rec.Resuming })
 	return ring.New(append(ids, v.self))
 }
 
-// heartbeatTo returns the hosts that get this host's heartbeats.
-func (v *view) heartbeatTo() []ports.HostID {
+// heartbeatReceivers returns the hosts that this host sends heartbeats to.
+func (v *view) heartbeatReceivers() []ports.HostID {
 	if v.mesh() {
 		return v.others(nil)
 	}
 	return v.ring().After(v.self, v.watchers())
 }
 
-// watched returns the hosts whose heartbeats this one expects.
-func (v *view) watched() []ports.HostID {
+// monitored returns the hosts that this host expects heartbeats from.
+func (v *view) monitored() []ports.HostID {
 	if v.mesh() {
 		return v.others(nil)
 	}
 	return v.ring().Before(v.self, v.watchers())
 }
 
-// neighbours returns the hosts that changes are passed on to.
+// neighbours returns the hosts that changes are gossiped to.
 func (v *view) neighbours() []ports.HostID {
 	if v.mesh() {
-		return v.others(func(e *entry) bool { return !e.doubted() })
+		return v.others(func(e *entry) bool { return !e.unreachable() })
 	}
 	return v.ring().Fingers(v.self)
 }
 
-// partners returns the hosts to compare views with. A host that doubts most
-// others asks doubted ones most of the time: after a partition has healed,
-// nobody else would ever speak to the other side again.
-func (v *view) partners(rng *rand.Rand) []ports.HostID {
+// syncPartners returns the hosts to compare views with. On a ring, a random host is drawn
+// and asked if it is suspected, so that a host which suspects most others asks suspected
+// ones most of the time: after a partition has healed, no other message would ever reach
+// the other side.
+func (v *view) syncPartners(rng *rand.Rand) []ports.HostID {
 	all := v.others(nil)
 	if v.mesh() {
 		return sample(rng, all, 2)
 	}
 	other := sample(rng, all, 1)
 	near := v.neighbours()
-	if len(near) == 0 || v.entries[other[0]].doubted() || rng.IntN(strangerEvery) == 0 {
+	if len(near) == 0 || v.entries[other[0]].unreachable() || rng.IntN(randomPartnerEvery) == 0 {
 		return other
 	}
 	return sample(rng, near, 1)
 }
 
-// others returns all hosts but this one that are kept, in order of ID.
+// others returns all hosts but this one for which keep returns true, sorted by ID. A nil
+// keep selects all.
 func (v *view) others(keep func(*entry) bool) []ports.HostID {
 	out := make([]ports.HostID, 0, len(v.entries))
 	for id, e := range v.entries {
@@ -85,7 +92,7 @@
 	return out
 }
 
-// sample returns up to k of the hosts at random.
+// sample returns up to k random hosts. It shuffles ids in place.
 func sample(rng *rand.Rand, ids []ports.HostID, k int) []ports.HostID {
 	rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	return ids[:min(k, len(ids))]
--- a/controller/membership/random_test.go
+++ b/controller/membership/random_test.go
@@ -15,8 +15,8 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// How long after the last fault all views have to agree. On a ring of two
-// watchers deaths of most hosts at once are found a few at a time.
+// Bounds on the time from the last fault until all views agree. On a ring with two
+// watchers, simultaneous crashes of most hosts are detected a few at a time.
 const (
 	convergeWithin     = 8 * time.Second
 	ringConvergeWithin = 12 * time.Second
@@ -28,11 +28,11 @@
 	opKill opKind = iota
 	opRestart
 	opPause
-	opWake
+	opResume
 	opCut
 	opHeal
-	opListOut
-	opListBack
+	opListFails
+	opListRecovers
 	opLeave
 	opReplace
 	opKinds
@@ -53,16 +53,18 @@
 	}
 }), 1, 14)
 
-// randomRun plays a script and checks all views as it goes.
+// randomRun runs a script and checks all views after each step.
 type randomRun struct {
 	*cluster
 	incarnation uint64
 	leaving     map[ports.HostID]bool
-	// seen holds the newest that a view showed of a host.
+	// seen holds the last state of each host (second ID) in the view of each host
+	// (first ID).
 	seen map[[2]ports.HostID]blackboard.Member
-	bad  string
+	// bad describes the first violation.
+	bad string
 	// converged is the time from the end of all faults until all views were
-	// right.
+	// correct; bound is the limit for it.
 	converged time.Duration
 	bound     time.Duration
 }
@@ -108,11 +110,11 @@
 		r.stopHost(id)
 	case o.kind == opPause:
 		h.gate.close()
-	case o.kind == opWake:
+	case o.kind == opResume:
 		h.gate.open()
-	case o.kind == opListOut:
+	case o.kind == opListFails:
 		h.list.fail(errors.New("outage"))
-	case o.kind == opListBack:
+	case o.kind == opListRecovers:
 		h.list.fail(nil)
 	case o.kind == opLeave:
 		h.board.Status.Store(blackboard.Status{ConfigConfirmed: true, Leaving: true})
@@ -137,7 +139,7 @@
 	r.start(id, r.incarnation, entryHosts(7))
 }
 
-// watch lets time pass and checks that no view goes back.
+// watch lets time pass and checks that no view regresses.
 func (r *randomRun) watch(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for _, at := range r.ids() {
@@ -156,11 +158,11 @@
 		return
 	}
 	if m.Incarnation < old.Incarnation {
-		r.fail("%s went back from incarnation %d of %s to %d", at, old.Incarnation, m.Host.ID, m.Incarnation)
+		r.fail("the view of %s went back from incarnation %d of %s to %d", at, old.Incarnation, m.Host.ID, m.Incarnation)
 	}
 	back := old.State == blackboard.MemberLeaving && m.State != blackboard.MemberLeaving
 	if back && m.Incarnation == old.Incarnation {
-		r.fail("%s took back that %s is leaving", at, m.Host.ID)
+		r.fail("the view of %s no longer shows %s as leaving", at, m.Host.ID)
 	}
 }
 
@@ -170,8 +172,8 @@
 	}
 }
 
-// finish ends all faults and demands that the views agree with what is so, and
-// stay that way.
+// finish ends all faults and requires that the views become correct within the bound and
+// stay correct.
 func (r *randomRun) finish() {
 	r.net.Heal()
 	for _, h := range r.hosts {
@@ -189,7 +191,7 @@
 	}
 }
 
-// wrongView tells what a view shows that is not so.
+// wrongView describes an error in any of the views, or returns "" if all are correct.
 func (r *randomRun) wrongView() string {
 	for _, h := range append(entryHosts(7), entryHost("new")) {
 		id := h.ID
@@ -197,22 +199,21 @@
 			got := r.state(at, id)
 			switch {
 			case r.hosts[id] == nil && got == blackboard.MemberLive:
-				return fmt.Sprintf("%s holds the dead %s for live", at, id)
+				return fmt.Sprintf("%s sees the stopped host %s as live", at, id)
 			case r.hosts[id] != nil && r.leaving[id] && got != blackboard.MemberLeaving:
-				return fmt.Sprintf("%s does not know that %s is leaving: %d", at, id, got)
+				return fmt.Sprintf("%s does not see %s as leaving: %d", at, id, got)
 			case r.hosts[id] != nil && !r.leaving[id] && got != blackboard.MemberLive:
-				return fmt.Sprintf("%s does not hold %s for live: %d", at, id, got)
+				return fmt.Sprintf("%s does not see %s as live: %d", at, id, got)
 			}
 		}
 	}
 	return ""
 }
 
-// Hosts die, restart, pause, are cut off one way, are replaced or leave, and
-// lists go out, in random order. Within the bound after the last fault every
-// view shows what is so; no view ever goes back to an earlier run of a host or
-// takes back a mark of leaving. Each script runs with all hosts watching each
-// other, and with two watchers on the ring.
+// Hosts crash, restart, pause, lose links in one direction, are replaced or leave, and
+// lists become unavailable, in random order. Within the bound after the last fault every
+// view is correct. No view ever returns to an earlier incarnation of a host or withdraws
+// a leaving mark. Each script runs with a mesh and with a ring of two watchers.
 func TestViewsConvergeAfterRandomFaults(t *testing.T) {
 	all := []rules{{}, {meshHosts: 3, watchers: 2}}
 	worst := make([]time.Duration, len(all))
@@ -226,19 +227,19 @@
 			}
 		}
 	})
-	t.Logf("worst time to converge: %v with all watching all, %v with two watchers", worst[0], worst[1])
+	t.Logf("worst time to converge: %v with a mesh, %v with a ring of two watchers", worst[0], worst[1])
 }
 
-// With incarnations left out of the comparison, a restarted host is held for
-// its earlier run. The random run has to notice.
+// Negative control: with incarnations ignored in comparisons, a restarted host is taken
+// for its earlier run. The random scripts must detect it.
 func TestRandomFaultsFindAnIgnoredIncarnation(t *testing.T) {
 	for seed := range 40 {
 		if bad, _ := runScript(t, scripts.Example(seed), rules{ignoreIncarnation: true}); bad != "" {
 			right, _ := runScript(t, scripts.Example(seed), rules{})
-			assert.Equal(t, right, "", "the script fails with the right rule too")
-			t.Logf("found with seed %d: %s", seed, bad)
+			assert.Equal(t, right, "", "the script fails with the correct rule too")
+			t.Logf("detected with seed %d: %s", seed, bad)
 			return
 		}
 	}
-	assert.Assert(t, false, "the broken rule was not found")
+	assert.Assert(t, false, "the broken rule was not detected")
 }
--- a/controller/membership/view.go
+++ b/controller/membership/view.go
@@ -12,69 +12,74 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// entry is what this host holds of one entry host.
+// entry is this host's state of one entry host.
 type entry struct {
 	rec Record
-	// heard is when there last was a sign of life.
-	heard time.Time
-	// silent is this host's own doubt, not told to others.
+	// lastSeen is the time of the last sign of life.
+	lastSeen time.Time
+	// silent is a local suspicion: this host could not reach the entry's host.
 	silent bool
-	// probing is set while pings are on their way.
-	probing     bool
-	listed      bool
-	listLeaving bool // marked in the list during this run of the daemon
-	listMark    bool // marked in the present list
+	// probing is set while a probe is in progress.
+	probing bool
+	// listed is set if the host is in the current list.
+	listed bool
+	// wasListedLeaving is set once a list has marked the host as leaving during its current
+	// run, listedLeaving if the current list does.
+	wasListedLeaving bool
+	listedLeaving    bool
 }
 
-// doubted reports whether this host takes it for out of reach.
-func (e *entry) doubted() bool { return e.rec.Suspected || e.silent || e.rec.Waking }
+// unreachable reports whether the host is to be treated as unreachable.
+func (e *entry) unreachable() bool { return e.rec.Suspected || e.silent || e.rec.Resuming }
 
-func (e *entry) leaving() bool { return e.rec.Leaving || e.listLeaving }
+func (e *entry) leaving() bool { return e.rec.Leaving || e.wasListedLeaving }
 
 func (e *entry) state() blackboard.MemberState {
 	switch {
 	case e.leaving():
 		return blackboard.MemberLeaving
-	case e.doubted():
+	case e.unreachable():
 		return blackboard.MemberSuspected
 	default:
 		return blackboard.MemberLive
 	}
 }
 
-// alive is a sign of life.
-func (e *entry) alive(now time.Time) {
-	e.heard = now
+// markAlive records a sign of life.
+func (e *entry) markAlive(now time.Time) {
+	e.lastSeen = now
 	e.silent = false
 }
 
-// view holds all entries and the rules by which they change. It has no clock
-// and no lock.
+// view holds the entries of all known hosts and implements the transitions between their
+// states. It has no clock and no lock of its own.
 type view struct {
 	self    ports.HostID
 	entries map[ports.HostID]*entry
-	// listRead is set once the platform's list was read.
+	// listRead is set once the platform's list has been read.
 	listRead bool
 	rules    rules
 }
 
-// rules are the same for all hosts. Tests make the ring small, and break a rule
-// to show that they would notice.
+// rules are parameters that tests override: to get a ring with few hosts, and to break
+// a rule and verify that the tests detect it. They must be the same on all hosts.
 type rules struct {
 	ignoreIncarnation bool
-	// meshHosts and watchers replace the constants if they are not 0.
+	// meshHosts and watchers override the constants meshHosts and ringWatchers if
+	// they are not 0.
 	meshHosts, watchers int
 }
 
 func newView(self Record, now time.Time) *view {
 	v := &view{self: self.ID, entries: make(map[ports.HostID]*entry)}
-	v.entries[self.ID] = &entry{rec: self, heard: now}
+	v.entries[self.ID] = &entry{rec: self, lastSeen: now}
 	return v
 }
 
 func (v *view) own() *entry { return v.entries[v.self] }
 
-// change alters this host's own record and gives it the next Seq.
+// change applies f to this host's own record and increments its Seq. It returns false
+// if f changes nothing.
 func (v *view) change(f func(r *Record)) bool {
 	e := v.own()
 	next := e.rec
@@ -87,53 +92,55 @@
 	return true
 }
 
-// merged tells what became of a record that came in.
-type merged uint8
+// mergeResult is the outcome of merging a received record.
+type mergeResult uint8
 
 const (
-	// mergeOld records say nothing new.
-	mergeOld merged = iota
-	// mergeNew records were taken and are worth passing on.
+	// mergeOld means that the record is not newer than the one held.
+	mergeOld mergeResult = iota
+	// mergeNew means that the record was stored and should be gossiped.
 	mergeNew
-	// mergeRefuted records doubted this host, which now has a higher Seq.
+	// mergeRefuted means that the record suspected this host, or outranked its own
+	// record, and that this host now has a higher Seq.
 	mergeRefuted
-	// mergeContested records are not taken: one of this record and the one
-	// held doubts the host, and the other shows that it need not be so. The
-	// doubt is sent to that host, which refutes it.
+	// mergeContested means that the record was not stored: either it or the record
+	// held suspects the host, and the other gives reason to think that the host is
+	// alive. The suspicion is sent to that host, which refutes it.
 	mergeContested
 )
 
-// merge takes in a record that another host sent.
-func (v *view) merge(r Record, now time.Time) merged {
+// merge merges a record received from another host.
+func (v *view) merge(r Record, now time.Time) mergeResult {
 	if r.ID == v.self {
 		return v.mergeSelf(r)
 	}
 	e := v.entries[r.ID]
 	if e == nil {
-		return v.learn(r, now)
+		return v.addUnknown(r, now)
 	}
 	if !v.newer(r, e.rec) {
 		if v.newer(e.rec, r) && e.rec.Suspected && e.rec.Seq == r.Seq {
-			// After a split has healed, the other side never doubted this host.
+			// After a partition has healed: the sender's side never suspected
+			// this host.
 			return mergeContested
 		}
 		return mergeOld
 	}
-	if r.Suspected && now.Sub(e.heard) < silentAfter {
-		// A host that was itself cut off comes back with doubts about all
-		// others. Taking them would move every role for a moment; what this
-		// host heard itself says otherwise.
+	if r.Suspected && now.Sub(e.lastSeen) < heartbeatTimeout {
+		// A host that was itself cut off returns with suspicions of all others.
+		// Accepting them would move every role for a moment; this host has heard
+		// from the suspect recently.
 		return mergeContested
 	}
 	if r.Incarnation == e.rec.Incarnation {
 		r.Leaving = r.Leaving || e.rec.Leaving
 	}
 	if r.Incarnation > e.rec.Incarnation {
-		e.listLeaving = e.listMark
+		e.wasListedLeaving = e.listedLeaving
 	}
 	e.rec = r
 	if !r.Suspected {
-		e.alive(now)
+		e.markAlive(now)
 	}
 	return mergeNew
 }
@@ -145,19 +152,19 @@
 	return r.newer(than)
 }
 
-// learn adds a host that this one did not know. One that is already doubted
-// is not worth adding: it would only come back after it had been forgotten.
-func (v *view) learn(r Record, now time.Time) merged {
+// addUnknown adds an unknown host. A suspected one is ignored: otherwise a host that this one
+// has already forgotten would be added back by others.
+func (v *view) addUnknown(r Record, now time.Time) mergeResult {
 	if r.Suspected || r.ID == "" {
 		return mergeOld
 	}
-	v.entries[r.ID] = &entry{rec: r, heard: now}
+	v.entries[r.ID] = &entry{rec: r, lastSeen: now}
 	return mergeNew
 }
 
-// mergeSelf answers a doubt, or a record of an earlier run that had a higher
-// incarnation because the clock went back, by outranking it.
-func (v *view) mergeSelf(r Record) merged {
+// mergeSelf refutes a suspicion of this host by outranking it. It does the same to a
+// record of an earlier run that has a higher incarnation because the clock was set back.
+func (v *view) mergeSelf(r Record) mergeResult {
 	e := v.own()
 	if !r.newer(e.rec) {
 		return mergeOld
@@ -169,18 +176,20 @@
 	return mergeRefuted
 }
 
-// suspect doubts a host that did not answer. If told, others will hear of it.
-func (v *view) suspect(id ports.HostID, told bool) bool {
+// suspect marks a host that did not answer as suspected. If gossiped is set, the suspicion
+// becomes part of its record and is gossiped; otherwise it stays local. suspect returns
+// false if nothing changed.
+func (v *view) suspect(id ports.HostID, gossiped bool) bool {
 	e := v.entries[id]
-	if e == nil || e.rec.Suspected || e.silent && !told {
+	if e == nil || e.rec.Suspected || e.silent && !gossiped {
 		return false
 	}
 	e.silent = true
-	e.rec.Suspected = told
+	e.rec.Suspected = gossiped
 	return true
 }
 
-// applyList takes in the entry hosts of a list.
+// applyList merges the entry hosts of a list.
 func (v *view) applyList(hosts []ports.Host, now time.Time) {
 	v.listRead = true
 	for _, e := range v.entries {
@@ -192,32 +201,34 @@
 		}
 		e := v.entries[h.ID]
 		if e == nil {
-			e = &entry{rec: recordOf(h), heard: now}
+			e = &entry{rec: recordOf(h), lastSeen: now}
 			v.entries[h.ID] = e
 		}
 		e.listed = true
-		// A host that began to leave does not come back without a restart, even
-		// if the mark is taken back: its roles and shares are handed over.
-		e.listMark = h.State == ports.HostLeaving
-		e.listLeaving = e.listLeaving || e.listMark
+		// A leaving host does not become live again without a restart, even if
+		// the mark is withdrawn: its roles and shares have been handed over.
+		e.listedLeaving = h.State == ports.HostLeaving
+		e.wasListedLeaving = e.wasListedLeaving || e.listedLeaving
 	}
 }
 
-// forget drops hosts that left the list and have been silent for long.
-func (v *view) forget(now time.Time) bool {
+// expire drops suspected and leaving hosts that are not listed and have been silent for
+// expireAfter. It reports whether it dropped any.
+func (v *view) expire(now time.Time) bool {
 	n := len(v.entries)
 	for id, e := range v.entries {
-		if id == v.self || e.listed || now.Sub(e.heard) < forgetAfter {
+		if id == v.self || e.listed || now.Sub(e.lastSeen) < expireAfter {
 			continue
 		}
-		if e.doubted() || e.leaving() {
+		if e.unreachable() || e.leaving() {
 			delete(v.entries, id)
 		}
 	}
 	return len(v.entries) != n
 }
 
-// digest is equal on two hosts that hold the same records.
+// digest returns an order-independent hash of the IDs, versions and suspicions of all
+// records. It is equal on hosts that hold the same records.
 func (v *view) digest() uint64 {
 	var sum uint64
 	var b [26]byte
@@ -242,7 +253,7 @@
 	return out
 }
 
-// members is the view for the blackboard.
+// members returns the view in the form that is published on the blackboard.
 func (v *view) members() *blackboard.Members {
 	out := &blackboard.Members{Self: v.self, Members: make([]blackboard.Member, 0, len(v.entries)), Complete: v.listRead}
 	for _, e := range v.entries {
