--- a/controller/targets/controller.go
+++ b/controller/targets/controller.go
@@ -1,9 +1,11 @@
-// Package targets keeps the view of all targets on the blackboard: who is
-// there, from the platform's lagging list, and who is leaving, from the list,
-// from what targets answer this host, and from the word of other hosts. The
-// first sign of leaving anywhere is told to all entry hosts at once; hosts also
-// compare what they know twice a second, so that a lost message, or a cut
-// between two hosts, delays it by a second and not by the lag of the list.
+// Package targets maintains the view of all targets and publishes it on the blackboard.
+//
+// Which targets exist comes from the platform's host list, which lags. Which of them are
+// leaving comes from the list, from the responses of targets to this host, and from other
+// hosts. The first host that sees that a target is leaving broadcasts a mark. In addition
+// hosts compare digests of their marks twice a second and fetch what they lack
+// (anti-entropy), so that a lost message or a broken link between two hosts delays a mark
+// by about a second and not by the lag of the list.
 package targets
 
 import (
@@ -22,26 +24,27 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Kinds of messages between controllers of targets; the membership controller
-// has the start of the range.
+// Kinds of messages between target controllers. The membership controller uses the
+// start of the range.
 const (
 	kindMarks = peer.KindMembership + 20 + iota
 	kindCompare
 )
 
 const (
-	compareEvery   = 500 * time.Millisecond
-	compareTimeout = 400 * time.Millisecond
-	comparePeers   = 3
-	// pushDelay collects marks that come together, as in a rolling update.
+	compareInterval = 500 * time.Millisecond
+	compareTimeout  = 400 * time.Millisecond
+	comparePeers    = 3
+	// pushDelay is the time for which marks are collected into one message, as
+	// they come in batches during a rolling update.
 	pushDelay = 10 * time.Millisecond
-	// tellAll is up to how many hosts a first sign is told to each of them;
-	// past that it goes to the fingers on the ring, which pass it on.
-	tellAll = 30
-	// passFanout is how many neighbours a mark from the list or from a peer is
-	// passed on to.
-	passFanout = 4
-	pruneEvery = time.Minute
+	// maxFullBroadcast is the largest cluster in which a first sign is sent to every host. In
+	// a larger one it goes to the fingers on the ring, which forward it.
+	maxFullBroadcast = 30
+	// forwardFanout is the number of neighbours that a mark from the list or from a
+	// peer is forwarded to.
+	forwardFanout = 4
+	pruneInterval = time.Minute
 )
 
 type marksMsg struct {
@@ -60,8 +63,8 @@
 	Metrics *metrics.Set
 }
 
-// Controller writes Board.Targets. Others may mark targets on it with
-// blackboard.Targets.WithLeaving; the controller tells the other hosts.
+// Controller writes Board.Targets. Other code on this host may mark targets there with
+// blackboard.Targets.WithLeaving; the controller broadcasts such marks to other hosts.
 type Controller struct {
 	opts  Options
 	count counters
@@ -70,14 +73,14 @@
 	mu    sync.Mutex
 	rng   *rand.Rand
 	marks *marks
-	// tell holds marks that this host was the first to see, pass those that
-	// came from the list or a peer.
-	tell, pass []Mark
-	pruned     time.Time
+	// announce holds marks to broadcast, which this host was the first to see; forward
+	// holds marks to forward, which came from the list or a peer.
+	announce, forward []LeavingMark
+	pruned            time.Time
 }
 
-// New returns a controller and registers its handlers on the link. The host is
-// not ready until ApplyList was called.
+// New returns a controller and registers its handlers on the link. The host is not ready
+// until ApplyList has been called.
 func New(opts Options) *Controller {
 	if opts.Log == nil {
 		opts.Log = zap.NewNop()
@@ -93,9 +96,9 @@
 		marks:  newMarks(),
 		pruned: time.Now(),
 	}
-	c.setUnknown(true)
+	c.setTargetsUnknown(true)
 	peer.Handle(opts.Link, kindMarks, func(_ context.Context, _ peer.HostID, m marksMsg) (struct{}, error) {
-		c.take(m.Marks)
+		c.mergeMarks(m.Marks)
 		return struct{}{}, nil
 	})
 	peer.Handle(opts.Link, kindCompare, func(_ context.Context, _ peer.HostID, m compareMsg) (marksMsg, error) {
@@ -106,43 +109,43 @@
 	return c
 }
 
-// Run spreads marks until ctx ends.
+// Run exchanges marks with other hosts until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return c.watch(ctx) })
+	g.Go(func() error { return c.watchBoard(ctx) })
 	g.Go(func() error { c.push(ctx); return nil })
 	g.Go(func() error { c.compare(ctx, g); return nil })
 	return g.Wait()
 }
 
-// ApplyList takes in a new list of the platform. Without a new one the last
-// stays in force, for as long as the list is out.
+// ApplyList applies a new list of the platform. While the list is unavailable, the last
+// one stays in force without a time limit.
 func (c *Controller) ApplyList(snap ports.HostSnapshot) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var before, after *blackboard.Targets
 	c.opts.Board.Targets.Update(func(old *blackboard.Targets) (*blackboard.Targets, bool) {
-		before, after = old, c.withMarks(fromList(old, snap, now), now)
+		before, after = old, c.applyMarks(fromList(old, snap, now), now)
 		return after, true
 	})
-	// Marks that another controller set on the board are in both views; they
-	// are left for the watch, which tells all hosts.
-	known := make(map[Mark]bool)
-	eachLeaving(before, &blackboard.Targets{}, func(m Mark) { known[m] = true })
-	eachLeaving(after, before, func(m Mark) {
+	// Marks that other code has set on the board are in both views. They are left
+	// to the watch on the board, which broadcasts them.
+	known := make(map[LeavingMark]bool)
+	forEachLeaving(before, &blackboard.Targets{}, func(m LeavingMark) { known[m] = true })
+	forEachLeaving(after, before, func(m LeavingMark) {
 		if !known[m] && c.marks.add(m, now) {
 			c.count.fromList.Add(1)
-			c.pass = append(c.pass, m)
+			c.forward = append(c.forward, m)
 		}
 	})
-	c.setUnknown(false)
+	c.setTargetsUnknown(false)
 	c.prune(after, now)
-	c.wakeUp()
+	c.wakeLocked()
 }
 
-// setUnknown writes whether there was no list yet.
-func (c *Controller) setUnknown(unknown bool) {
+// setTargetsUnknown sets the status flag for a host that has had no list yet.
+func (c *Controller) setTargetsUnknown(unknown bool) {
 	c.opts.Board.Status.Update(func(s blackboard.Status) (blackboard.Status, bool) {
 		changed := s.TargetsUnknown != unknown
 		s.TargetsUnknown = unknown
@@ -150,10 +153,10 @@
 	})
 }
 
-// withMarks sets the marks that came before the list had their targets. The
-// view is not on the board yet, so it may be changed.
-func (c *Controller) withMarks(t *blackboard.Targets, now time.Time) *blackboard.Targets {
-	for m := range c.marks.at {
+// applyMarks applies the marks that were received before the list had their targets. The
+// view is not on the board yet, so it may be modified.
+func (c *Controller) applyMarks(t *blackboard.Targets, now time.Time) *blackboard.Targets {
+	for m := range c.marks.lastListed {
 		if next, changed := t.WithLeaving(m.key(), ports.RunID(m.ID), now); changed {
 			t = next
 		}
@@ -161,26 +164,26 @@
 	return t
 }
 
-// prune keeps the marks of listed targets and lets others grow old.
+// prune renews the marks of listed targets and drops expired ones.
 func (c *Controller) prune(t *blackboard.Targets, now time.Time) {
-	eachLeaving(t, &blackboard.Targets{}, func(m Mark) {
+	forEachLeaving(t, &blackboard.Targets{}, func(m LeavingMark) {
 		if c.marks.has(m) {
-			c.marks.seen(m, now)
+			c.marks.refresh(m, now)
 		}
 	})
 	c.pruned = now
 	c.marks.prune(now)
 }
 
-// take marks targets on the word of another host and passes on what is new.
-func (c *Controller) take(ms []wireMark) {
+// mergeMarks applies marks received from another host and forwards new ones.
+func (c *Controller) mergeMarks(ms []wireMark) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var fresh []Mark
+	var fresh []LeavingMark
 	for _, w := range ms {
 		age := time.Duration(w.Age) * time.Second
-		if age <= keepMark && c.marks.add(w.mark(), now.Add(-age)) {
+		if age <= markTTL && c.marks.add(w.mark(), now.Add(-age)) {
 			fresh = append(fresh, w.mark())
 		}
 	}
@@ -196,32 +199,32 @@
 		}
 		return next, changed
 	})
-	c.pass = append(c.pass, fresh...)
-	c.wakeUp()
+	c.forward = append(c.forward, fresh...)
+	c.wakeLocked()
 }
 
-// watch finds marks that others on this host set on the board.
-func (c *Controller) watch(ctx context.Context) error {
+// watchBoard detects marks that other code on this host sets on the board.
+func (c *Controller) watchBoard(ctx context.Context) error {
 	before := &blackboard.Targets{}
 	return c.opts.Board.Targets.Watch(ctx, func(now *blackboard.Targets) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		eachLeaving(now, before, func(m Mark) {
+		forEachLeaving(now, before, func(m LeavingMark) {
 			if c.marks.add(m, time.Now()) {
 				c.count.firstSeen.Add(1)
 				c.opts.Log.Info("target is leaving", zap.String("target", string(m.ID)),
 					zap.String("workspace", m.Workspace), zap.String("service", m.Service))
-				c.tell = append(c.tell, m)
+				c.announce = append(c.announce, m)
 			}
 		})
 		before = now
-		c.wakeUp()
+		c.wakeLocked()
 	})
 }
 
-// wakeUp is called with mu held.
-func (c *Controller) wakeUp() {
-	if len(c.tell)+len(c.pass) == 0 {
+// wakeLocked triggers push if there are marks to send. The caller holds mu.
+func (c *Controller) wakeLocked() {
+	if len(c.announce)+len(c.forward) == 0 {
 		return
 	}
 	select {
--- a/controller/targets/exchange.go
+++ b/controller/targets/exchange.go
@@ -15,7 +15,7 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// push sends new marks to other hosts.
+// push sends new marks to other hosts until ctx ends.
 func (c *Controller) push(ctx context.Context) {
 	for {
 		select {
@@ -27,25 +27,26 @@
 			return
 		}
 		c.mu.Lock()
-		tell, pass := c.wireLocked(c.tell), c.wireLocked(c.pass)
-		c.tell, c.pass = nil, nil
-		toTell, toPass := c.receiversLocked()
+		announce, forward := c.encodeLocked(c.announce), c.encodeLocked(c.forward)
+		c.announce, c.forward = nil, nil
+		announceTo, forwardTo := c.receiversLocked()
 		c.mu.Unlock()
-		c.send(toTell, tell)
-		c.send(toPass, pass)
+		c.send(announceTo, announce)
+		c.send(forwardTo, forward)
 	}
 }
 
-func (c *Controller) receiversLocked() (tell, pass []ports.HostID) {
+// receiversLocked returns the hosts to broadcast to and the hosts to forward to.
+func (c *Controller) receiversLocked() (announce, forward []ports.HostID) {
 	near := c.neighboursLocked()
-	return near, near[:min(passFanout, len(near))]
+	return near, near[:min(forwardFanout, len(near))]
 }
 
-func (c *Controller) wireLocked(ms []Mark) []wireMark {
+func (c *Controller) encodeLocked(ms []LeavingMark) []wireMark {
 	now := time.Now()
 	out := make([]wireMark, len(ms))
 	for i, m := range ms {
-		out[i] = c.marks.wire(m, now)
+		out[i] = c.marks.encode(m, now)
 	}
 	return out
 }
@@ -62,9 +63,9 @@
 	}
 }
 
-// neighboursLocked returns, in random order, all other hosts if they are few,
-// or else this host's fingers on the ring. Suspected hosts are among them: a
-// host that is cut off from this one still gives work to targets.
+// neighboursLocked returns, in random order, all other hosts of a small cluster, or this
+// host's fingers on the ring of a larger one. Suspected hosts are included: a host that
+// this one can't reach may still send requests to targets.
 func (c *Controller) neighboursLocked() []ports.HostID {
 	view := c.opts.Board.Members.Load()
 	ids := make([]ports.HostID, len(view.Members))
@@ -72,7 +73,7 @@
 		ids[i] = view.Members[i].Host.ID
 	}
 	self := c.opts.Link.Self()
-	if len(ids) > tellAll {
+	if len(ids) > maxFullBroadcast {
 		ids = ring.New(ids).Fingers(self)
 	} else {
 		ids = slices.DeleteFunc(ids, func(id ports.HostID) bool { return id == self })
@@ -81,11 +82,11 @@
 	return ids
 }
 
-// compare asks a few neighbours again and again for marks this host lacks.
+// compare periodically fetches the marks that this host lacks from a few neighbours.
 func (c *Controller) compare(ctx context.Context, g *errgroup.Group) {
-	for ctxtime.Sleep(ctx, compareEvery) {
+	for ctxtime.Sleep(ctx, compareInterval) {
 		c.mu.Lock()
-		if now := time.Now(); now.Sub(c.pruned) > pruneEvery {
+		if now := time.Now(); now.Sub(c.pruned) > pruneInterval {
 			c.prune(c.opts.Board.Targets.Load(), now)
 		}
 		digest := c.marks.digest()
@@ -107,11 +108,11 @@
 	}
 	if len(reply.Marks) > 0 {
 		c.count.compareDiffered.Add(1)
-		c.take(reply.Marks)
+		c.mergeMarks(reply.Marks)
 	}
 }
 
-// counters of one controller, served as the map "targets".
+// counters holds the metrics of one controller, exported as the map "targets".
 type counters struct {
 	fromList, fromPeer, firstSeen  *expvar.Int
 	sent, dropped                  *expvar.Int
--- a/controller/targets/list.go
+++ b/controller/targets/list.go
@@ -9,7 +9,8 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// fromList makes the view of a list, with what the view before it knew.
+// fromList builds the view of a list. It carries over what the old view knew of targets
+// that are still listed.
 func fromList(old *blackboard.Targets, snap ports.HostSnapshot, now time.Time) *blackboard.Targets {
 	next := &blackboard.Targets{
 		ListVersion: snap.Version,
@@ -22,9 +23,9 @@
 		}
 		t := blackboard.Target{ID: h.ID, Addr: h.Addr, Zone: h.Zone, FirstSeen: now}
 		if first {
-			// Targets that were there before this host count as warm. With the
-			// present time, each start of an entry host would make it spare
-			// all targets at once.
+			// Targets that existed before this host started count as warm. With
+			// the current time, a newly started entry host would hold back
+			// requests from all targets at once.
 			t.FirstSeen = time.Time{}
 		}
 		if h.State == ports.HostLeaving {
@@ -35,7 +36,7 @@
 	}
 	for key, list := range next.ByService {
 		slices.SortFunc(list, byID)
-		keepKnown(list, old.ByService[key])
+		carryOver(list, old.ByService[key])
 		if slices.Equal(list, old.ByService[key]) {
 			next.ByService[key] = old.ByService[key]
 		}
@@ -45,10 +46,10 @@
 
 func byID(a, b blackboard.Target) int { return strings.Compare(string(a.ID), string(b.ID)) }
 
-// keepKnown carries over what the old view knew of targets that are still
-// there. Both are sorted. A mark of leaving stays whatever the list says: the
-// list lags behind the target's own word, and may be an older copy.
-func keepKnown(list, old []blackboard.Target) {
+// carryOver copies the first-seen times and leaving marks of targets that are in both
+// lists, which must be sorted by ID. A leaving mark is never withdrawn by the list: the
+// list lags behind what the target itself reported, and may be an older copy.
+func carryOver(list, old []blackboard.Target) {
 	i := 0
 	for j := range list {
 		for i < len(old) && old[i].ID < list[j].ID {
@@ -67,23 +68,23 @@
 	}
 }
 
-// eachLeaving calls f for the leaving targets of all services that differ from
-// the view before.
-func eachLeaving(now, before *blackboard.Targets, f func(Mark)) {
+// forEachLeaving calls f for all leaving targets of services whose targets differ between
+// the two views. It also calls f for marks that both views have.
+func forEachLeaving(now, before *blackboard.Targets, f func(LeavingMark)) {
 	for key, list := range now.ByService {
 		if sameSlice(list, before.ByService[key]) {
 			continue
 		}
 		for i := range list {
 			if list[i].Leaving {
-				f(markOf(key, list[i].ID))
+				f(leavingMarkOf(key, list[i].ID))
 			}
 		}
 	}
 }
 
-// sameSlice reports whether two slices are one and the same. Lists on the
-// blackboard are never written to, so they are equal then.
+// sameSlice reports whether two slices share the same array. Lists on the blackboard are
+// immutable, so such slices are equal.
 func sameSlice(a, b []blackboard.Target) bool {
 	if len(a) != len(b) {
 		return false
--- a/controller/targets/marks.go
+++ b/controller/targets/marks.go
@@ -9,16 +9,16 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Mark says that a target is leaving.
-type Mark struct {
+// LeavingMark identifies a target that is leaving.
+type LeavingMark struct {
 	Workspace string
 	Service   string
 	ID        ports.HostID
 }
 
-// wireMark is a mark on its way. Age in seconds is the time since a list last
-// had the target. Without it each host that learns of an old mark would count
-// from zero, and hosts would bring it back to each other for ever.
+// wireMark is a mark as sent between hosts. Age is the time in seconds since a list last
+// had the target. Without it, each host that receives an old mark would start its
+// expiration anew, and hosts would keep it alive among each other forever.
 type wireMark struct {
 	Workspace string       `msgpack:"w"`
 	Service   string       `msgpack:"s"`
@@ -26,17 +26,19 @@
 	Age       uint32       `msgpack:"a,omitempty"`
 }
 
-func (w wireMark) mark() Mark { return Mark{Workspace: w.Workspace, Service: w.Service, ID: w.ID} }
+func (w wireMark) mark() LeavingMark {
+	return LeavingMark{Workspace: w.Workspace, Service: w.Service, ID: w.ID}
+}
 
-func (m Mark) key() blackboard.ServiceKey {
+func (m LeavingMark) key() blackboard.ServiceKey {
 	return blackboard.ServiceKey{Workspace: m.Workspace, Service: m.Service}
 }
 
-func markOf(key blackboard.ServiceKey, id ports.HostID) Mark {
-	return Mark{Workspace: key.Workspace, Service: key.Service, ID: id}
+func leavingMarkOf(key blackboard.ServiceKey, id ports.HostID) LeavingMark {
+	return LeavingMark{Workspace: key.Workspace, Service: key.Service, ID: id}
 }
 
-func (m Mark) hash() uint64 {
+func (m LeavingMark) hash() uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(m.Workspace)
@@ -48,81 +50,84 @@
 }
 
 const (
-	// buckets divide the marks, so that two hosts that differ by one mark do
-	// not exchange thousands.
+	// buckets is the number of partitions of the marks in a digest, so that hosts
+	// that differ by one mark don't exchange thousands.
 	buckets = 16
-	// keepMark is how long a mark outlives the last list that had its target,
-	// or waits for the first one that has it.
-	keepMark = 10 * time.Minute
-	// maxMarks bounds the marks of targets that are in no list.
+	// markTTL is how long a mark is kept after the last list that had its target,
+	// or while no list has had it yet.
+	markTTL = 10 * time.Minute
+	// maxMarks bounds the number of marks, since marks may name targets that are in
+	// no list.
 	maxMarks = 20000
 )
 
-// marks is the set of all marks known, each with the time of the last list that
-// had its target.
+// marks is the set of all known marks.
 type marks struct {
-	at   map[Mark]time.Time
+	// lastListed has the time of the last list that had the target of each mark.
+	lastListed map[LeavingMark]time.Time
+	// sums has the XOR of the hashes of the marks in each bucket.
 	sums [buckets]uint64
 }
 
-func newMarks() *marks { return &marks{at: make(map[Mark]time.Time)} }
+func newMarks() *marks { return &marks{lastListed: make(map[LeavingMark]time.Time)} }
 
-// add reports whether the mark is new. listed is the time of the last list that
+// add adds a mark and reports whether it is new. listed is the time of the last list that
 // had its target.
-func (s *marks) add(m Mark, listed time.Time) bool {
-	if s.has(m) || len(s.at) >= maxMarks {
+func (s *marks) add(m LeavingMark, listed time.Time) bool {
+	if s.has(m) || len(s.lastListed) >= maxMarks {
 		return false
 	}
-	s.at[m] = listed
+	s.lastListed[m] = listed
 	h := m.hash()
 	s.sums[h%buckets] ^= h
 	return true
 }
 
-func (s *marks) has(m Mark) bool {
-	_, ok := s.at[m]
+func (s *marks) has(m LeavingMark) bool {
+	_, ok := s.lastListed[m]
 	return ok
 }
 
-// seen notes that a list has the target of a known mark.
-func (s *marks) seen(m Mark, now time.Time) { s.at[m] = now }
+// refresh records that a list has the target of a known mark.
+func (s *marks) refresh(m LeavingMark, now time.Time) { s.lastListed[m] = now }
 
-// prune drops marks of targets that have not been listed for long.
+// prune drops the marks of targets that have not been listed for markTTL.
 func (s *marks) prune(now time.Time) {
-	for m, at := range s.at {
-		if now.Sub(at) > keepMark {
+	for m, lastListed := range s.lastListed {
+		if now.Sub(lastListed) > markTTL {
 			h := m.hash()
 			s.sums[h%buckets] ^= h
-			delete(s.at, m)
+			delete(s.lastListed, m)
 		}
 	}
 }
 
-// digest is equal for equal sets; it is empty for the empty one.
+// digest returns the bucket sums, which are equal for equal sets, or nil if the set is
+// empty.
 func (s *marks) digest() []uint64 {
-	if len(s.at) == 0 {
+	if len(s.lastListed) == 0 {
 		return nil
 	}
 	sums := s.sums
 	return sums[:]
 }
 
-// wire returns a known mark as it is sent.
-func (s *marks) wire(m Mark, now time.Time) wireMark {
-	age := max(0, now.Sub(s.at[m]))
+// encode returns the wire form of a known mark.
+func (s *marks) encode(m LeavingMark, now time.Time) wireMark {
+	age := max(0, now.Sub(s.lastListed[m]))
 	return wireMark{Workspace: m.Workspace, Service: m.Service, ID: m.ID, Age: uint32(age / time.Second)}
 }
 
-// missing returns the marks in buckets that differ from a peer's digest.
+// missing returns all marks in the buckets that differ from the digest of a peer.
 func (s *marks) missing(digest []uint64, now time.Time) []wireMark {
 	if len(digest) != buckets {
 		digest = make([]uint64, buckets)
 	}
 	var out []wireMark
-	for m := range s.at {
+	for m := range s.lastListed {
 		b := m.hash() % buckets
 		if s.sums[b] != digest[b] {
-			out = append(out, s.wire(m, now))
+			out = append(out, s.encode(m, now))
 		}
 	}
 	return out
--- a/controller/targets/targets_test.go
+++ b/controller/targets/targets_test.go
@@ -19,14 +19,14 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// tellWithin is the time from the first sign of leaving at any host until no
-// host that can be reached gives the target new work.
-const tellWithin = 2 * time.Second
+// spreadWithin bounds the time from the first sign of leaving at any host until no
+// reachable host sends new requests to the target.
+const spreadWithin = 2 * time.Second
 
 var testKey = blackboard.ServiceKey{Workspace: "w", Service: "s"}
 
 func TestMain(m *testing.M) {
-	// Set before parsing, so that longer runs can choose otherwise.
+	// Defaults; flags on the command line override them.
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.nofailfile", "true")
 	_ = flag.Set("rapid.checks", "60")
@@ -68,15 +68,15 @@
 	return blackboard.Target{}
 }
 
-// mark is what a picker does when a target answers that it is draining.
+// mark marks a target as a picker does when the target responds that it is draining.
 func (h *testHost) mark(i int) {
 	h.board.Targets.Update(func(old *blackboard.Targets) (*blackboard.Targets, bool) {
 		return old.WithLeaving(testKey, ports.RunID(targetID(i)), time.Now())
 	})
 }
 
-// withHosts runs f with n hosts that know each other and ten live targets.
-func withHosts(t *testing.T, n int, f func(net *peernet.Network, hosts []*testHost)) {
+// runWithHosts runs f in virtual time with n hosts that know each other and ten live targets.
+func runWithHosts(t *testing.T, n int, f func(net *peernet.Network, hosts []*testHost)) {
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		net := peernet.New()
@@ -106,7 +106,7 @@
 	})
 }
 
-// unaware counts the hosts that would still give the target new work.
+// unaware counts the hosts that would still send new requests to the target.
 func unaware(hosts []*testHost, target int) int {
 	n := 0
 	for _, h := range hosts {
@@ -140,22 +140,22 @@
 		assert.Equal(t, h.target(2).FirstSeen, since)
 		h.c.ApplyList(listOf(4))
 		h.c.ApplyList(liveList(5, 3))
-		assert.Check(t, h.target(0).Leaving, "a list that missed the target for a moment does not clear it")
+		assert.Check(t, h.target(0).Leaving, "a list that omits the target for a moment does not clear the mark")
 		h.c.ApplyList(listOf(6))
-		time.Sleep(2 * keepMark)
+		time.Sleep(2 * markTTL)
 		h.c.ApplyList(listOf(7))
-		assert.Equal(t, len(h.c.marks.at), 0)
+		assert.Equal(t, len(h.c.marks.lastListed), 0)
 	})
 }
 
-// A target tells one host in an answer that it is draining; the list says so
-// only seconds later. All hosts have to stop giving it work within 2 s.
+// A target reports in a response to one host that it is draining; the list follows only
+// seconds later. All hosts must stop sending requests to it within 2 s.
 func TestFirstSignReachesAll(t *testing.T) {
 	for _, n := range []int{15, 50, 150} {
-		withHosts(t, n, func(_ *peernet.Network, hosts []*testHost) {
+		runWithHosts(t, n, func(_ *peernet.Network, hosts []*testHost) {
 			start := time.Now()
 			hosts[n/2].mark(3)
-			for unaware(hosts, 3) > 0 && time.Since(start) < tellWithin {
+			for unaware(hosts, 3) > 0 && time.Since(start) < spreadWithin {
 				time.Sleep(5 * time.Millisecond)
 			}
 			assert.Check(t, unaware(hosts, 3) == 0, "%d of %d hosts do not know", unaware(hosts, 3), n)
@@ -164,25 +164,24 @@
 			for _, h := range hosts {
 				sent += h.c.count.sent.Value()
 			}
-			assert.Check(t, sent <= int64(n*(passFanout+1)+n), "%d messages", sent)
+			assert.Check(t, sent <= int64(n*(forwardFanout+1)+n), "%d messages", sent)
 		})
 	}
 }
 
-// One host's list lags: it has not heard of a target that is already leaving
-// again. It keeps the mark until the list shows the target, and never gives it
-// work.
+// The list of one host lags and does not have a target yet that is already leaving. The
+// host keeps the mark until its list has the target, and sends it no requests.
 func TestMarkComesBeforeTheTarget(t *testing.T) {
-	withHosts(t, 3, func(_ *peernet.Network, hosts []*testHost) {
+	runWithHosts(t, 3, func(_ *peernet.Network, hosts []*testHost) {
 		hosts[0].c.ApplyList(liveList(2, 11))
 		hosts[0].mark(10)
-		time.Sleep(tellWithin)
+		time.Sleep(spreadWithin)
 		hosts[1].c.ApplyList(liveList(2, 11))
 		assert.Check(t, hosts[1].target(10).Leaving)
 	})
 }
 
-// randomCuts cuts links one way, at most four at each of n hosts.
+// randomCuts returns random one-way link failures, at most four at each of n hosts.
 func randomCuts(rng *rand.Rand, n int) [][2]int {
 	lost := make([]int, n)
 	var cuts [][2]int
@@ -198,19 +197,19 @@
 	return cuts
 }
 
-// A third of the links lose everything in one direction. Every host still has
-// some it can talk to, and the mark reaches all in time, past those that do
-// not hear the host that saw it first.
+// A third of the links drop all messages in one direction. Each host still reaches some
+// others, so the mark reaches all in time, including those that can't receive from the
+// host that saw it first.
 func TestFirstSignPassesCuts(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cuts := randomCuts(rand.New(rand.NewPCG(rapid.Uint64().Draw(rt, "seed"), 0)), 12)
 		left := -1
-		withHosts(t, 12, func(net *peernet.Network, hosts []*testHost) {
+		runWithHosts(t, 12, func(net *peernet.Network, hosts []*testHost) {
 			for _, c := range cuts {
 				net.Cut(hosts[c[0]].c.opts.Link.Self(), hosts[c[1]].c.opts.Link.Self())
 			}
 			hosts[0].mark(1)
-			time.Sleep(tellWithin)
+			time.Sleep(spreadWithin)
 			left = unaware(hosts, 1)
 		})
 		if left != 0 {
@@ -219,7 +218,7 @@
 	})
 }
 
-// BenchmarkApplyList takes in a changed list of 15,000 targets of 490 services.
+// BenchmarkApplyList applies a new version of a list of 15,000 targets of 490 services.
 func BenchmarkApplyList(b *testing.B) {
 	h := &testHost{board: blackboard.New()}
 	h.c = New(Options{Link: peernet.New().Join("h"), Board: h.board})
