--- a/controller/probes/cost.go
+++ b/controller/probes/cost.go
@@ -8,16 +8,16 @@
 	"github.com/cactusproxy/cactusproxy/blackboard"
 )
 
-// slotTime adds up the time of all target slots of all workspaces: what the
-// time of probes is measured against.
+// slotTime accumulates the total slot time: the number of target slots of all workspaces
+// times the time that passed. The time spent on probes is reported as a share of it.
 type slotTime struct {
 	mu    sync.Mutex
 	last  time.Time
 	total time.Duration
 }
 
-// maxTick bounds the time that one tick stands for; a host that was paused did
-// not see what there was meanwhile.
+// maxTick bounds the time that one tick accounts for, because a host that was paused
+// does not know how many slots there were meanwhile.
 const maxTick = time.Second
 
 func (s *slotTime) tick(now time.Time, b *blackboard.Board) {
@@ -46,19 +46,19 @@
 	return n
 }
 
-// perThousandCalls returns this host's probes per 1,000 calls it finished. Over
-// all hosts, divide the sums of the two counters.
+// perThousandCalls returns the number of probes that this host sent per 1,000 calls that
+// it finished. For a figure over all hosts, divide the sums of the two counters.
 func (c *Controller) perThousandCalls() any {
 	var calls int64
-	c.d.Metrics.Calls.Do(func(kv expvar.KeyValue) { calls += intOf(kv.Value) })
+	c.deps.Metrics.Calls.Do(func(kv expvar.KeyValue) { calls += intOf(kv.Value) })
 	if calls == 0 {
 		return 0.0
 	}
 	return 1000 * float64(intOf(c.count.Get(countSent))) / float64(calls)
 }
 
-// timeShare returns the time of this host's probes as a share of the time of all
-// target slots; the shares of all hosts add up.
+// timeShare returns the time of this host's probes as a share of the total slot time. The
+// shares of all hosts can be added.
 func (c *Controller) timeShare() any {
 	total := c.slots.sum()
 	if total == 0 {
--- a/controller/probes/http.go
+++ b/controller/probes/http.go
@@ -10,13 +10,13 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// maxHealthBody bounds the bytes read of a health endpoint's answer.
+// maxHealthBody bounds the bytes read of the response body of a health endpoint.
 const maxHealthBody = 4 << 10
 
-// HTTPProber returns a prober that GETs the health path.
+// HTTPProber returns a prober that sends a GET request to the health path.
 //
-// net/http repeats a GET by itself when a kept-alive connection fails, and the budget would count it
-// once. So each probe has a connection of its own.
+// Each probe opens a connection of its own: net/http retries a GET by itself when a
+// kept-alive connection fails, and the budget would count the two requests as one.
 func HTTPProber() Prober {
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
 	return func(ctx context.Context, t blackboard.Target, path string) Result {
@@ -29,19 +29,18 @@
 			return Result{Load: -1}
 		}
 		defer resp.Body.Close()
-		return read(resp)
+		return resultOf(resp)
 	}
 }
 
-// read makes a result of an answer. The body may be missing or of any kind: the
-// status alone says whether the target takes calls. Only the header is taken for
-// the sign of leaving, which can not be taken back; what an endpoint says in its
-// body may be out of date or wrong.
-func read(resp *http.Response) Result {
-	said := targetapi.Default().Signals(resp.StatusCode, resp.Header)
-	res := Result{OK: resp.StatusCode == http.StatusOK, Load: -1, Leaving: said.Leaving, Limit: said.Limit, Rest: said.Rest}
-	if said.HasLoad {
-		res.Load = said.Load.Running
+// resultOf converts a response to a Result. The status alone decides whether the target takes
+// calls; the body may be missing or of any type and only supplies the load. Leaving is read
+// from the headers alone, because it can't be revoked and a body may be outdated or wrong.
+func resultOf(resp *http.Response) Result {
+	signals := targetapi.Default().Signals(resp.StatusCode, resp.Header)
+	res := Result{OK: resp.StatusCode == http.StatusOK, Load: -1, Leaving: signals.Leaving, Limit: signals.Limit, Rest: signals.Rest}
+	if signals.HasLoad {
+		res.Load = signals.Load.Running
 	}
 	var h struct {
 		Load *int `json:"load"`
--- a/controller/probes/probes.go
+++ b/controller/probes/probes.go
@@ -1,6 +1,8 @@
-// Package probes asks targets for their health where calls tell nothing: idle,
-// ejected and cold targets of the services that this host coordinates. Each
-// probe is made under a share of the workspace's budget.
+// Package probes sends active health checks to targets whose health can't be inferred
+// from calls: idle, ejected and cold targets of the services that this host coordinates.
+// Every probe is paid for from this host's share of the workspace's probe budget. At most
+// one probe per workspace runs at a time, and the target that was probed least recently
+// goes first.
 package probes
 
 import (
@@ -22,67 +24,69 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// Candidate is a target worth a probe.
+// Candidate is a target that should be probed.
 type Candidate struct {
 	Service blackboard.ServiceKey
 	Target  blackboard.Target
 }
 
-// Source says what to probe and takes the results; the code that chooses targets
-// implements it.
+// Source supplies the targets to probe and receives the results. It is implemented by the
+// code that chooses targets for calls.
 type Source interface {
-	// Stale returns the targets of which this host's calls tell nothing, of
-	// services that it coordinates.
+	// Stale returns the targets of the services that this host coordinates for which
+	// its calls give no current information.
 	Stale(now time.Time) []Candidate
-	// Probed takes a result; a negative load means that none was reported.
+	// Probed reports a result; a negative load means that the target reported none.
 	Probed(key blackboard.ServiceKey, id ports.HostID, ok bool, load int, latency time.Duration)
 }
 
-// Budget gives permission for probes; *budget.Shares does.
+// Budget grants permission for probes. *budget.Shares implements it.
 type Budget interface {
 	Begin(workspace string) (*budget.Spend, bool)
 }
 
-// Result is the answer to a probe.
+// Result is the result of a probe.
 type Result struct {
 	// OK is set if the target takes calls.
 	OK bool
-	// Load is what it reports, or -1.
+	// Load is the number of running requests that the target reports, or -1.
 	Load int
-	// Leaving is set if it says that it is to stop.
+	// Leaving is set if the target reports that it is shutting down.
 	Leaving bool
-	// Limit is how many requests it takes, Rest how long it wants none from this host.
+	// Limit is the concurrency limit that the target reports, Rest the time for which
+	// it asks for no requests from this host.
 	Limit targetapi.Limit
 	Rest  time.Duration
 }
 
-// Prober makes one probe, sending at most one request, and none once ctx has
-// ended.
+// Prober makes one probe. It sends at most one request, and none once ctx has ended.
 type Prober func(ctx context.Context, t blackboard.Target, path string) Result
 
-// Deps is what a Controller works with.
+// Deps holds the dependencies of a Controller.
 type Deps struct {
 	Board  *blackboard.Board
 	Source Source
 	Budget Budget
 	Prober Prober
-	// Leaving is told of a target that says it is to stop; nil tells nobody.
+	// Leaving, if set, is called for a target that reports that it is shutting down.
 	Leaving func(key blackboard.ServiceKey, id ports.HostID)
-	// Heard, if set, is told what targets say of themselves.
+	// Heard, if set, receives the signals that targets send with their responses.
 	Heard pick.Listener
-	// Resting, if set, reports whether a target wants nothing from this host now.
+	// Resting, if set, reports whether a target has asked for no requests from this
+	// host for the time being. Such a target is not probed.
 	Resting func(key blackboard.ServiceKey, t blackboard.Target) bool
 	Metrics *metrics.Set
 	Log     *zap.Logger
 }
 
 const (
-	// tickEvery is how often a probe may begin for each workspace.
-	tickEvery = 50 * time.Millisecond
-	// lookEvery is how often candidates are looked for.
-	lookEvery = 500 * time.Millisecond
-	// targetEvery is the least time between two probes of one target.
-	targetEvery = time.Second
+	// tickInterval is the minimum interval between the starts of two probes of a
+	// workspace.
+	tickInterval = 50 * time.Millisecond
+	// lookupInterval is the interval at which the candidates are updated.
+	lookupInterval = 500 * time.Millisecond
+	// minTargetInterval is the minimum interval between two probes of one target.
+	minTargetInterval = time.Second
 )
 
 // Names of the counters in the metrics map "probes".
@@ -95,47 +99,47 @@
 	countMicros  = "time_us"
 )
 
-// Controller probes. See Run.
+// Controller schedules and runs the probes of one host, see Run.
 type Controller struct {
-	d     Deps
+	deps  Deps
 	count *expvar.Map
 	slots slotTime
 
-	// candidates were found when the controller last looked; Run's alone.
+	// candidates are those found at time lastLookup. Both are used by Run only.
 	candidates []Candidate
-	looked     time.Time
+	lastLookup time.Time
 
 	mu sync.Mutex
-	// last is when each target was last probed.
+	// last has the time of the last probe of each target.
 	last map[probeKey]time.Time
-	// busy are the workspaces with a probe under way.
-	busy map[string]bool
-	wg   sync.WaitGroup
+	// inProgress has the workspaces with a probe in progress.
+	inProgress map[string]bool
+	wg         sync.WaitGroup
 }
 
-// probeKey names a target of a service.
+// probeKey identifies a target of a service.
 type probeKey struct {
 	service blackboard.ServiceKey
 	target  ports.HostID
 }
 
-// New returns a controller that does nothing until Run.
-func New(d Deps) *Controller {
+// New returns a controller, which probes nothing until Run is called.
+func New(deps Deps) *Controller {
 	c := &Controller{
-		d:     d,
-		count: d.Metrics.Map("probes"),
-		last:  make(map[probeKey]time.Time),
-		busy:  make(map[string]bool),
+		deps:       deps,
+		count:      deps.Metrics.Map("probes"),
+		last:       make(map[probeKey]time.Time),
+		inProgress: make(map[string]bool),
 	}
-	d.Metrics.Func("probes_per_1000_calls", c.perThousandCalls)
-	d.Metrics.Func("probe_time_share", c.timeShare)
+	deps.Metrics.Func("probes_per_1000_calls", c.perThousandCalls)
+	deps.Metrics.Func("probe_time_share", c.timeShare)
 	return c
 }
 
-// Run probes until ctx ends and the last probe is over.
+// Run probes targets until ctx ends. It returns after the last probe has ended.
 func (c *Controller) Run(ctx context.Context) error {
 	defer c.wg.Wait()
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -143,18 +147,18 @@
 			return nil
 		case <-tick.C:
 			now := time.Now()
-			c.slots.tick(now, c.d.Board)
+			c.slots.tick(now, c.deps.Board)
 			c.round(ctx, now)
 		}
 	}
 }
 
-// round begins at most one probe for each workspace that has none under way:
-// that of the target that was probed the longest ago.
+// round starts at most one probe for each workspace that has none in progress, of the
+// target that was probed least recently.
 func (c *Controller) round(ctx context.Context, now time.Time) {
-	if now.Sub(c.looked) >= lookEvery {
-		c.looked = now
-		c.candidates = c.d.Source.Stale(now)
+	if now.Sub(c.lastLookup) >= lookupInterval {
+		c.lastLookup = now
+		c.candidates = c.deps.Source.Stale(now)
 		c.forget(now)
 	}
 	for _, next := range c.next(now) {
@@ -162,7 +166,7 @@
 		if !c.reserve(cand.Service.Workspace) {
 			continue
 		}
-		spend, ok := c.d.Budget.Begin(cand.Service.Workspace)
+		spend, ok := c.deps.Budget.Begin(cand.Service.Workspace)
 		if !ok {
 			c.unreserve(cand.Service.Workspace)
 			continue
@@ -175,28 +179,28 @@
 	}
 }
 
-// waiting is a candidate with when it was last probed and where.
-type waiting struct {
+// dueProbe is a candidate with the time of its last probe and its health path.
+type dueProbe struct {
 	Candidate
 	last time.Time
 	path string
 }
 
-// next returns for each workspace the candidate that may be probed and waits the
-// longest, in the order of the workspaces' names. It looks at each candidate
-// once: with many thousand idle targets, sorting them all at each tick took a
-// tenth of a core.
-func (c *Controller) next(now time.Time) []waiting {
+// next returns, for each workspace, the candidate that may be probed and was probed least
+// recently, sorted by the name of the workspace. It makes a single pass over the
+// candidates: with many thousand idle targets, sorting them at each tick took a tenth of a
+// core.
+func (c *Controller) next(now time.Time) []dueProbe {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	paths := make(map[blackboard.ServiceKey]string)
-	first := make(map[string]waiting)
+	first := make(map[string]dueProbe)
 	for _, cand := range c.candidates {
 		at, probed := c.last[keyOf(cand)]
-		if probed && now.Sub(at) < targetEvery {
+		if probed && now.Sub(at) < minTargetInterval {
 			continue
 		}
-		if c.d.Resting != nil && c.d.Resting(cand.Service, cand.Target) {
+		if c.deps.Resting != nil && c.deps.Resting(cand.Service, cand.Target) {
 			continue
 		}
 		path, known := paths[cand.Service]
@@ -204,25 +208,25 @@
 			path = c.healthPath(cand.Service)
 			paths[cand.Service] = path
 		}
-		w := waiting{Candidate: cand, last: at, path: path}
+		w := dueProbe{Candidate: cand, last: at, path: path}
 		best, found := first[cand.Service.Workspace]
 		if path != "" && (!found || w.before(best)) {
 			first[cand.Service.Workspace] = w
 		}
 	}
 	names := slices.Sorted(maps.Keys(first))
-	out := make([]waiting, len(names))
+	out := make([]dueProbe, len(names))
 	for i, name := range names {
 		out[i] = first[name]
 	}
 	return out
 }
 
-func (w waiting) before(o waiting) bool {
+func (w dueProbe) before(o dueProbe) bool {
 	return cmp.Or(w.last.Compare(o.last), cmp.Compare(w.Target.ID, o.Target.ID)) < 0
 }
 
-// forget drops targets that were not probed for a while.
+// forget drops the times of targets that have not been probed for forgetAfter.
 func (c *Controller) forget(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,7 +237,7 @@
 	}
 }
 
-// forgetAfter is when it no longer matters when a target was last probed.
+// forgetAfter is the age at which the time of a probe no longer matters.
 const forgetAfter = 10 * time.Minute
 
 func keyOf(c Candidate) probeKey { return probeKey{service: c.Service, target: c.Target.ID} }
@@ -247,22 +251,23 @@
 func (c *Controller) reserve(workspace string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.busy[workspace] {
+	if c.inProgress[workspace] {
 		return false
 	}
-	c.busy[workspace] = true
+	c.inProgress[workspace] = true
 	return true
 }
 
 func (c *Controller) unreserve(workspace string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.busy, workspace)
+	delete(c.inProgress, workspace)
 }
 
-// healthPath returns the path to probe, or "" if probes are forbidden.
+// healthPath returns the path to probe, or "" if the service has none and so must not be
+// probed.
 func (c *Controller) healthPath(key blackboard.ServiceKey) string {
-	ws, ok := c.d.Board.Config.Load().Workspace(key.Workspace)
+	ws, ok := c.deps.Board.Config.Load().Workspace(key.Workspace)
 	if !ok {
 		return ""
 	}
@@ -273,7 +278,7 @@
 	return svc.HealthPath
 }
 
-// probe makes one probe within its deadline.
+// probe makes one probe within the deadline of spend, and reports the result.
 func (c *Controller) probe(ctx context.Context, cand Candidate, path string, spend *budget.Spend) {
 	ctx, cancel := context.WithDeadline(ctx, spend.Deadline)
 	defer cancel()
@@ -283,7 +288,7 @@
 		return
 	}
 	start := time.Now()
-	res := c.d.Prober(ctx, cand.Target, path)
+	res := c.deps.Prober(ctx, cand.Target, path)
 	took := time.Since(start)
 	spend.Done(took)
 	c.report(cand, res, took)
@@ -297,20 +302,20 @@
 	} else {
 		c.count.Add(countFailed, 1)
 	}
-	if c.d.Heard != nil && (res.OK || res.Limit.Named || res.Rest > 0) {
-		c.d.Heard(cand.Service, cand.Target, targetapi.Signals{Leaving: res.Leaving, Limit: res.Limit, Rest: res.Rest})
+	if c.deps.Heard != nil && (res.OK || res.Limit.Named || res.Rest > 0) {
+		c.deps.Heard(cand.Service, cand.Target, targetapi.Signals{Leaving: res.Leaving, Limit: res.Limit, Rest: res.Rest})
 	}
 	if res.Leaving {
 		c.count.Add(countLeaving, 1)
-		if c.d.Leaving != nil {
-			c.d.Leaving(cand.Service, cand.Target.ID)
+		if c.deps.Leaving != nil {
+			c.deps.Leaving(cand.Service, cand.Target.ID)
 		}
 	}
-	c.d.Log.Debug("probed",
+	c.deps.Log.Debug("probed",
 		zap.Stringer("service", cand.Service),
 		zap.String("target", string(cand.Target.ID)),
 		zap.Bool("ok", res.OK),
 		zap.Int("load", res.Load),
 		zap.Duration("took", took))
-	c.d.Source.Probed(cand.Service, cand.Target.ID, res.OK, res.Load, took)
+	c.deps.Source.Probed(cand.Service, cand.Target.ID, res.OK, res.Load, took)
 }
--- a/controller/probes/probes_test.go
+++ b/controller/probes/probes_test.go
@@ -28,7 +28,7 @@
 
 var service = blackboard.ServiceKey{Workspace: "w", Service: "s"}
 
-// idleSource has targets that are always in want of a probe.
+// idleSource is a Source whose targets are always stale.
 type idleSource struct {
 	targets []blackboard.Target
 	mu      sync.Mutex
@@ -67,22 +67,22 @@
 	return n
 }
 
-// daemon is one host's controller and shares over a store.
-type daemon struct {
+// testHost has the controller and the budget shares of one host.
+type testHost struct {
 	controller *Controller
 	shares     *budget.Shares
 	metrics    *metrics.Set
 	source     *idleSource
 }
 
-func newDaemon(st ports.Table, id ports.HostID, n int, healthPath string, prober Prober) *daemon {
+func newTestHost(st ports.Table, id ports.HostID, n int, healthPath string, prober Prober) *testHost {
 	b := blackboard.New()
 	b.Config.Store(&declare.Config{Workspaces: []declare.Workspace{{
 		Name:        "w",
 		ProbeBudget: 60 * time.Millisecond,
 		Services:    []declare.Service{{Name: "s", Slots: 2, HealthPath: healthPath}},
 	}}})
-	d := &daemon{metrics: metrics.New(), source: newSource(n)}
+	d := &testHost{metrics: metrics.New(), source: newSource(n)}
 	b.Targets.Store(&blackboard.Targets{ByService: map[blackboard.ServiceKey][]blackboard.Target{service: d.source.targets}})
 	d.shares = budget.New(budget.Deps{Table: st, Self: id, Config: b.Config.Load, Metrics: d.metrics, Log: zap.NewNop()})
 	d.controller = New(Deps{
@@ -96,24 +96,24 @@
 	return d
 }
 
-func (d *daemon) run(ctx context.Context, wg *sync.WaitGroup) {
+func (d *testHost) run(ctx context.Context, wg *sync.WaitGroup) {
 	wg.Go(func() { _ = d.shares.Run(ctx) })
 	wg.Go(func() { _ = d.controller.Run(ctx) })
 }
 
-// sixMillis is a probe of the usual length.
-func sixMillis(context.Context, blackboard.Target, string) Result {
+// sixMillisecondProbe is a Prober that takes as long as a typical probe.
+func sixMillisecondProbe(context.Context, blackboard.Target, string) Result {
 	time.Sleep(6 * time.Millisecond)
 	return Result{OK: true, Load: 0}
 }
 
-// Two hosts believe to be coordinator of 15 idle targets. Together they spend
-// the budget of 60 ms a second at most, and no target is left out.
+// Two hosts both act as coordinator of the same 15 idle targets. Together they stay within
+// the budget of 60 ms per second, and every target is probed.
 func TestIdleTargetsAreProbedInTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := store.New(store.Limits{})
-		a := newDaemon(st, "a", 15, "/health", sixMillis)
-		b := newDaemon(st, "b", 15, "/health", sixMillis)
+		a := newTestHost(st, "a", 15, "/health", sixMillisecondProbe)
+		b := newTestHost(st, "b", 15, "/health", sixMillisecondProbe)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		var wg sync.WaitGroup
@@ -122,7 +122,7 @@
 		wg.Wait()
 		probes := a.source.total() + b.source.total()
 		share := a.controller.timeShare().(float64) + b.controller.timeShare().(float64)
-		t.Logf("%d probes in a minute, %.4f of the slot time", probes, share)
+		t.Logf("%d probes in a minute, share of the slot time %.4f", probes, share)
 		assert.Check(t, probes > 200 && probes <= 600)
 		assert.Check(t, share <= 0.060/30)
 		for _, tg := range a.source.targets {
@@ -133,7 +133,7 @@
 
 func TestServiceWithoutHealthPathIsNotProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDaemon(store.New(store.Limits{}), "a", 3, "", sixMillis)
+		d := newTestHost(store.New(store.Limits{}), "a", 3, "", sixMillisecondProbe)
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		var wg sync.WaitGroup
@@ -143,13 +143,13 @@
 	})
 }
 
-// The table is out from the start: no share is had, so nothing is probed, and
-// nobody waits for the table.
+// The table is down from the start. No host gets a share of the budget, so nothing is
+// probed, and nothing blocks on the table.
 func TestNoProbesWithoutTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := store.New(store.Limits{})
 		st.SetFaults(store.Faults{Down: true, Delay: time.Second})
-		d := newDaemon(st, "a", 3, "/health", sixMillis)
+		d := newTestHost(st, "a", 3, "/health", sixMillisecondProbe)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 		defer cancel()
 		var wg sync.WaitGroup
@@ -176,8 +176,8 @@
 	assert.Equal(t, probe(ctx, at, "/health"), Result{Load: -1})
 }
 
-// A target reads each request and closes the connection. A GET is what net/http
-// repeats by itself; the target must see one request for each probe.
+// A target reads each request and closes the connection, after which net/http may retry a
+// GET by itself. The target must see exactly one request per probe.
 func TestProbeIsSentOnce(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
