--- a/controller/leave/leave.go
+++ b/controller/leave/leave.go
@@ -1,7 +1,10 @@
-// Package leave stops this host gracefully: readiness off, peers told, roles
-// handed over, idle connections of callers closed by "Connection: close"
-// answers over a drain period, every call in flight finished however long it
-// takes, shares given back.
+// Package leave implements the graceful shutdown of a host.
+//
+// Controller.Stop first reports the host as not ready and leaving, and hands over its
+// roles. For a drain period it still takes calls and answers them with "Connection: close",
+// which closes idle connections of callers without a race. Then it stops listening, waits
+// for all calls in flight, however long they take, and returns the host's shares. Other
+// packages take part through hooks, which run in the order of their Stage.
 package leave
 
 import (
@@ -20,14 +23,14 @@
 )
 
 const (
-	// DefaultDrainPeriod is how long callers and the platform's balancer get
-	// to learn that this host is leaving.
+	// DefaultDrainPeriod is the time given to callers and the platform's load
+	// balancer to notice that this host is leaving.
 	DefaultDrainPeriod = 5 * time.Second
-	// DefaultHookTimeout bounds each hook but those of Close.
+	// DefaultHookTimeout bounds each hook of the stages other than Close.
 	DefaultHookTimeout = 3 * time.Second
 
-	checkEvery = 20 * time.Millisecond
-	logEvery   = 10 * time.Second
+	pollInterval = 20 * time.Millisecond
+	logInterval  = 10 * time.Second
 )
 
 // Options of a Controller.
@@ -36,29 +39,30 @@
 	// InFlight returns the number of callers' calls in flight on this host.
 	InFlight func() int
 	Hooks    []Hook
-	// DrainPeriod is how long calls are still taken, and answered with
-	// "Connection: close"; 0 is DefaultDrainPeriod. A stop that closed idle
-	// connections at once would reset the call that a caller is just sending.
+	// DrainPeriod is how long calls are still accepted, and answered with
+	// "Connection: close"; 0 means DefaultDrainPeriod. Closing idle connections at
+	// once would reset a call that a caller is just sending.
 	DrainPeriod time.Duration
-	// Limit is the operator's limit on the whole stop; 0 is none.
+	// Limit is the operator's limit on the duration of the whole stop; 0 means none.
 	Limit time.Duration
-	// HookTimeout bounds each hook; 0 is DefaultHookTimeout.
+	// HookTimeout bounds each hook of the stages other than Close; 0 means
+	// DefaultHookTimeout.
 	HookTimeout time.Duration
 	Log         *zap.Logger
 	Metrics     *metrics.Set
 }
 
-// Controller runs the stop once.
+// Controller runs the graceful shutdown of a host, once.
 type Controller struct {
-	opts      Options
-	requested chan struct{}
-	request   sync.Once
-	started   atomic.Bool
-	done      chan struct{}
-	report    Report
+	opts        Options
+	requested   chan struct{}
+	requestOnce sync.Once
+	started     atomic.Bool
+	done        chan struct{}
+	report      Report
 }
 
-// New returns a controller of a host that is not leaving.
+// New returns a controller for a host that is not leaving yet.
 func New(opts Options) *Controller {
 	if opts.DrainPeriod == 0 {
 		opts.DrainPeriod = DefaultDrainPeriod
@@ -75,27 +79,27 @@
 	return &Controller{opts: opts, requested: make(chan struct{}), done: make(chan struct{})}
 }
 
-// Run watches for a leaving mark on this host in the platform's list until ctx
-// ends. Requested is closed when there is one.
+// Run watches the view of the cluster until ctx ends, and closes Requested once it shows
+// this host as leaving, as the platform's list may mark it.
 func (c *Controller) Run(ctx context.Context) error {
 	return c.opts.Board.Members.Watch(ctx, func(m *blackboard.Members) {
 		self, ok := m.Find(m.Self)
 		if ok && self.State == blackboard.MemberLeaving {
-			c.request.Do(func() { close(c.requested) })
+			c.requestOnce.Do(func() { close(c.requested) })
 		}
 	})
 }
 
-// Requested is closed when the platform wants this host to leave. The daemon
-// calls Stop then, as it does on SIGTERM.
+// Requested returns a channel that is closed when the platform asks this host to leave.
+// The daemon then calls Stop, as it does on SIGTERM.
 func (c *Controller) Requested() <-chan struct{} { return c.requested }
 
-// Done is closed at the end of Stop.
+// Done returns a channel that is closed at the end of Stop.
 func (c *Controller) Done() <-chan struct{} { return c.done }
 
-// Stop leaves and returns when the host may exit. Calls after the first wait
-// for its end. If ctx ends, what is still in flight is cut off, as after the
-// operator's limit.
+// Stop shuts the host down and returns when the process may exit. Further calls of Stop
+// wait for the first one and return its report. If ctx ends, calls still in flight are cut
+// off, as they are at the operator's limit.
 func (c *Controller) Stop(ctx context.Context) Report {
 	if !c.started.Swap(true) {
 		c.report = c.leave(ctx)
@@ -137,8 +141,8 @@
 	return context.WithTimeout(ctx, c.opts.Limit)
 }
 
-// runStage runs the hooks of a stage. One that fails or hangs does not keep the
-// others from running: a store that is out must not keep roles here.
+// runStage runs the hooks of a stage in order. A hook that fails or hangs does not prevent
+// the others from running: an unavailable store must not keep roles on this host.
 func (c *Controller) runStage(ctx context.Context, s Stage, rep *Report) {
 	for _, h := range c.opts.Hooks {
 		if h.Stage != s {
@@ -152,7 +156,7 @@
 	}
 }
 
-var errHookTimeout = errors.New("hook took too long")
+var errHookTimeout = errors.New("leave hook timed out")
 
 func (c *Controller) runHook(ctx context.Context, h Hook) error {
 	if h.Stage != Close {
@@ -170,7 +174,7 @@
 	}
 }
 
-// awaitCalls waits for the last call in flight.
+// awaitCalls waits until no calls are in flight. If ctx ends first, it cuts them off.
 func (c *Controller) awaitCalls(ctx context.Context, start time.Time, rep *Report) {
 	logged := time.Now()
 	for {
@@ -178,11 +182,11 @@
 		if n == 0 {
 			return
 		}
-		if !ctxtime.Sleep(ctx, checkEvery) {
+		if !ctxtime.Sleep(ctx, pollInterval) {
 			c.cut(rep, start)
 			return
 		}
-		if time.Since(logged) >= logEvery {
+		if time.Since(logged) >= logInterval {
 			logged = time.Now()
 			c.opts.Log.Info("waiting for calls in flight", zap.Int("in_flight", n), zap.Duration("waited", time.Since(start)))
 		}
@@ -196,6 +200,6 @@
 	}
 	rep.Cut = true
 	c.opts.Metrics.Int("leave_calls_cut").Add(int64(rep.Left))
-	c.opts.Log.Error("STOP CUTS OFF CALLS IN FLIGHT: the operator's limit was reached",
+	c.opts.Log.Error("calls in flight cut off: shutdown reached the operator's limit or was canceled",
 		zap.Int("cut_off", rep.Left), zap.Duration("limit", c.opts.Limit), zap.Duration("waited", time.Since(start)))
 }
--- a/controller/leave/leave_test.go
+++ b/controller/leave/leave_test.go
@@ -16,7 +16,7 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// testStop is a host with calls in flight and a hook for each stage.
+// testStop has the options of a host with calls in flight and a hook for each stage.
 type testStop struct {
 	opts     Options
 	inFlight atomic.Int64
@@ -35,8 +35,8 @@
 	return s
 }
 
-// An upload of a minute is in flight when the host is told to stop. Readiness
-// goes off first, the upload finishes, and only then is anything given back.
+// An upload that takes a minute is in flight when the host is asked to stop. The host first
+// reports itself as not ready; only after the upload has finished does it release anything.
 func TestStopWaitsForALongUpload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestStop()
@@ -61,8 +61,8 @@
 	})
 }
 
-// Idle host: the drain period is still waited for, since the platform's
-// balancer sends calls until it has seen that readiness is off.
+// A host without calls still waits for the drain period, because the platform's load
+// balancer sends calls until it notices that the host is not ready.
 func TestIdleHostStillDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -71,8 +71,8 @@
 	})
 }
 
-// A call never ends. The operator's limit, or the end of the context, cuts it
-// off; that is reported, and shares are given back all the same.
+// Calls never end. The operator's limit, or the end of the context, cuts them off. That is
+// reported, and the release hooks run all the same.
 func TestLimitCutsAndStillReleases(t *testing.T) {
 	for _, byLimit := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// The store is out, so that one hook fails and one hangs. The hooks after them
-// run, and the stop ends.
+// One hook fails and one hangs, as when the store is down. The hooks after them still run,
+// and the shutdown ends.
 func TestHooksThatFailOrHang(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestStop()
@@ -130,8 +130,8 @@
 	})
 }
 
-// A call comes in after the last one was counted, which a fault of the program
-// would make possible. The stop must not pass for a graceful one.
+// A call starts after the calls in flight were found to be zero, as a bug might allow. The
+// shutdown must then report a violation of the invariant.
 func TestCallAtTheEndBreaksTheInvariant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestStop()
--- a/controller/leave/stage.go
+++ b/controller/leave/stage.go
@@ -2,25 +2,25 @@
 
 import "context"
 
-// Stage is a step of the stop. Hooks of a stage run one after another, in the
-// order they were given, before the next stage begins.
+// Stage is a phase of the shutdown. The hooks of a stage run one after another, in the
+// order in which they were given, before the next stage begins.
 type Stage uint8
 
 const (
-	// Announce tells others that this host is leaving. Readiness is off by
-	// then, and the membership controller has been told through the board.
+	// Announce notifies others that this host is leaving. The host already reports
+	// itself as not ready, and the membership controller knows from the board.
 	Announce Stage = iota + 1
-	// Handover gives away roles such as coordinator of a service.
+	// Handover transfers roles, such as that of coordinator of a service.
 	Handover
-	// Close stops listening, after the drain period. Its hooks may wait for
-	// calls in flight; only the operator's limit ends them.
+	// Close stops listening, after the drain period. Its hooks may wait for calls in
+	// flight and have no timeout but the operator's limit.
 	Close
-	// Release gives back what the host holds at the platform or at peers,
-	// after the last call in flight. It runs after a cut too.
+	// Release returns what the host holds at the platform or at peers, after the last
+	// call in flight. It also runs after calls were cut off.
 	Release
 )
 
-// String returns the name of the stage in logs.
+// String returns the name of the stage as used in logs.
 func (s Stage) String() string {
 	switch s {
 	case Announce:
@@ -36,21 +36,21 @@
 	}
 }
 
-// Hook is what another package does in a stage. An error is logged and counted;
-// the stop goes on.
+// Hook is a function that another package runs in a stage. An error is logged and
+// counted, and the shutdown continues.
 type Hook struct {
 	Stage Stage
 	Name  string
 	Func  func(ctx context.Context) error
 }
 
-// Report tells how a stop went.
+// Report is the result of a shutdown.
 type Report struct {
-	// Cut is set if the operator's limit, or the end of the context, came
-	// before the last call in flight.
+	// Cut is set if calls in flight were cut off, at the operator's limit or because
+	// the context ended.
 	Cut bool
 	// Left is the number of calls in flight that were cut off.
 	Left int
-	// FailedHooks names the hooks that returned an error or took too long.
+	// FailedHooks has the names of the hooks that failed or timed out.
 	FailedHooks []string
 }
