--- a/controller/leave/leave.go
+++ b/controller/leave/leave.go
@@ -130,7 +130,7 @@
 
 	left := c.opts.InFlight()
 	invariant.Check(left == 0 || rep.Cut, invariant.GracefulStop, "%d calls in flight at the end of a stop", left)
-	c.opts.Log.Info("left", zap.Duration("took", time.Since(start)), zap.Bool("cut", rep.Cut), zap.Int("cut_off", rep.Left))
+	c.opts.Log.Info("left", zap.Duration("took", time.Since(start)), zap.Bool("cut", rep.Cut), zap.Int("cut_off", rep.CallsCut))
 	return rep
 }
 
@@ -194,12 +194,12 @@
 }
 
 func (c *Controller) cut(rep *Report, start time.Time) {
-	rep.Left = c.opts.InFlight()
-	if rep.Left == 0 {
+	rep.CallsCut = c.opts.InFlight()
+	if rep.CallsCut == 0 {
 		return
 	}
 	rep.Cut = true
-	c.opts.Metrics.Int("leave_calls_cut").Add(int64(rep.Left))
+	c.opts.Metrics.Int("leave_calls_cut").Add(int64(rep.CallsCut))
 	c.opts.Log.Error("calls in flight cut off: shutdown reached the operator's limit or was canceled",
-		zap.Int("cut_off", rep.Left), zap.Duration("limit", c.opts.Limit), zap.Duration("waited", time.Since(start)))
+		zap.Int("cut_off", rep.CallsCut), zap.Duration("limit", c.opts.Limit), zap.Duration("waited", time.Since(start)))
 }
--- a/controller/leave/leave_test.go
+++ b/controller/leave/leave_test.go
@@ -84,7 +84,7 @@
 				s.opts.Limit = 30 * time.Second
 			}
 			rep := New(s.opts).Stop(ctx)
-			assert.DeepEqual(t, rep, Report{Cut: true, Left: 2})
+			assert.DeepEqual(t, rep, Report{Cut: true, CallsCut: 2})
 			assert.Equal(t, s.trace[len(s.trace)-1], "release")
 		})
 	}
--- a/controller/leave/stage.go
+++ b/controller/leave/stage.go
@@ -49,8 +49,8 @@
 	// Cut is set if calls in flight were cut off, at the operator's limit or because
 	// the context ended.
 	Cut bool
-	// Left is the number of calls in flight that were cut off.
-	Left int
+	// CallsCut is the number of calls in flight that were cut off.
+	CallsCut int
 	// FailedHooks has the names of the hooks that failed or timed out.
 	FailedHooks []string
 }
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -279,7 +279,7 @@
 	case pick.NotSent:
 		// The target can not be reached: what was in flight on it may have broken
 		// off for that, and not for a request.
-		a.watch.NotReached(a.grant.Target().Run())
+		a.watch.ConnectFailed(a.grant.Target().Run())
 		a.watch.Close()
 	default:
 		a.watch.Close()
--- a/edge/run.go
+++ b/edge/run.go
@@ -68,7 +68,7 @@
 func (d *Daemon) stop(ctx context.Context) error {
 	report := d.leave.Stop(ctx)
 	if report.Cut {
-		return errors.Newf("shutdown cut off %d requests in flight", report.Left)
+		return errors.Newf("shutdown cut off %d requests in flight", report.CallsCut)
 	}
 	return nil
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -64,5 +64,5 @@
 		}
 	}
 	u.Pools.Retain(func(id ports.HostID) bool { return listed[id] })
-	u.Quarantine.KeepTargets(func(run ports.RunID) bool { return runs[run] })
+	u.Quarantine.RetainTargets(func(run ports.RunID) bool { return runs[run] })
 }
--- a/leave.go
+++ b/leave.go
@@ -31,7 +31,7 @@
 func (d *Daemon) stop(ctx context.Context) error {
 	report := d.leave.Stop(ctx)
 	if report.Cut {
-		return errors.Newf("stop cut off %d calls", report.Left)
+		return errors.Newf("stop cut off %d calls", report.CallsCut)
 	}
 	return nil
 }
--- a/quarantine/reach.go
+++ b/quarantine/reach.go
@@ -48,14 +48,14 @@
 	})
 }
 
-// KeepTargets drops the reachability of all targets for which known returns false. It
+// RetainTargets drops the reachability of all targets for which known returns false. It
 // is to be called when the set of targets has changed.
-func (q *Quarantine) KeepTargets(known func(ports.RunID) bool) { q.reachability.retain(known) }
+func (q *Quarantine) RetainTargets(known func(ports.RunID) bool) { q.reachability.retain(known) }
 
-// NotReached reports that no connection to the target could be made. The first such
+// ConnectFailed reports that no connection to the target could be made. The first such
 // report counts as the loss of the target. For idle targets it is the only sign that a
 // whole availability zone is failing and that no request is the cause.
-func (a *Attempt) NotReached(target ports.RunID) {
+func (a *Attempt) ConnectFailed(target ports.RunID) {
 	if a == nil || !a.q.reachability.markDown(target) {
 		return
 	}
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -135,7 +135,7 @@
 func (s *sim) reportUnreachable(id ports.RunID) {
 	time.Sleep(simRoundTrip)
 	a, _ := s.host().Admit(context.Background(), 1)
-	a.NotReached(id)
+	a.ConnectFailed(id)
 	a.Close()
 }
 
