--- a/controller/leave/leave.go
+++ b/controller/leave/leave.go
@@ -2,8 +2,8 @@
 //
 // Controller.Stop first reports the host as not ready and leaving, and hands over its
 // roles. For a drain period it still takes calls and answers them with "Connection: close",
-// which closes idle connections of callers without a race. Then it stops listening, waits
-// for all calls in flight, however long they take, and returns the host's shares. Other
+// so that callers close their connections themselves. Then it stops listening, waits for
+// all calls in flight, however long they take, and returns the host's shares. Other
 // packages take part through hooks, which run in the order of their Stage.
 package leave
 
--- a/controller/membership/view.go
+++ b/controller/membership/view.go
@@ -127,7 +127,7 @@
 		return mergeOld
 	}
 	if r.Suspected && now.Sub(e.lastSeen) < heartbeatTimeout {
-		// A host that was itself cut off returns with suspicions of all others.
+		// A host that was itself partitioned returns with suspicions of all others.
 		// Accepting them would move every role for a moment; this host has heard
 		// from the suspect recently.
 		return mergeContested
--- a/controller/probes/probes.go
+++ b/controller/probes/probes.go
@@ -1,6 +1,6 @@
 // Package probes sends active health checks to targets whose health can't be inferred
 // from calls: idle, ejected and cold targets of the services that this host coordinates.
-// Every probe is paid for from this host's share of the workspace's probe budget. At most
+// Every probe is charged to this host's share of the workspace's probe budget. At most
 // one probe per workspace runs at a time, and the target that was probed least recently
 // goes first.
 package probes
--- a/quarantine/reach.go
+++ b/quarantine/reach.go
@@ -49,7 +49,7 @@
 }
 
 // RetainTargets drops the reachability of all targets for which known returns false. It
-// is to be called when the set of targets has changed.
+// must be called from time to time, so that removed targets don't accumulate.
 func (q *Quarantine) RetainTargets(known func(ports.RunID) bool) { q.reachability.retain(known) }
 
 // ConnectFailed reports that no connection to the target could be made. The first such
