--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -279,7 +279,7 @@
 	case pick.NotSent:
 		// The target is unreachable, so requests in flight on it may have failed for that
 		// reason and not because one of them crashed it.
-		a.quarantineAttempt.NotReached(a.grant.Target().Run())
+		a.quarantineAttempt.ConnectFailed(a.grant.Target().Run())
 		a.quarantineAttempt.Close()
 	default:
 		a.quarantineAttempt.Close()
