--- a/cmd/cactusdemo/changes.go
+++ b/cmd/cactusdemo/changes.go
@@ -74,10 +74,10 @@
 	if err != nil {
 		return "", err
 	}
-	if r.Result != config.ResultConflict || r.Other == nil {
+	if r.Result != config.ResultConflict || r.Conflicting == nil {
 		return "", fmt.Errorf("result %s", r.Result)
 	}
-	return fmt.Sprintf("refused, shows the change of %s", r.Other.Who), nil
+	return fmt.Sprintf("refused, shows the change of %s", r.Conflicting.Operator), nil
 }
 
 // slowCall is how long the call takes during which a host stops.
--- a/controller/config/change.go
+++ b/controller/config/change.go
@@ -18,9 +18,9 @@
 	Sequence uint64 `msgpack:"sequence" json:"sequence"`
 	// ID was chosen by the operator's client; it tells a repeated request.
 	ID string `msgpack:"id" json:"id"`
-	// Who is the operator's name and When the committing host's time.
-	Who  string    `msgpack:"who" json:"who"`
-	When time.Time `msgpack:"when" json:"when"`
+	// Operator is the operator's name and When the committing host's time.
+	Operator    string    `msgpack:"who" json:"who"`
+	CommittedAt time.Time `msgpack:"when" json:"when"`
 	// RollbackTo is the workspace version that was brought back, or 0.
 	RollbackTo uint64            `msgpack:"rollback_to" json:"rollbackTo,omitempty"`
 	Workspace  declare.Workspace `msgpack:"workspace" json:"workspace"`
--- a/controller/config/commit.go
+++ b/controller/config/commit.go
@@ -41,9 +41,9 @@
 	Result Result `json:"result"`
 	// Change is the committed change, if Result is applied.
 	Change *Change `json:"change,omitempty"`
-	// Other is the change that was there first, if Result is conflict; nil if
+	// Conflicting is the change that was there first, if Result is conflict; nil if
 	// the workspace does not exist.
-	Other *Change `json:"other,omitempty"`
+	Conflicting *Change `json:"other,omitempty"`
 	// Problems are set if Result is invalid.
 	Problems declare.Problems `json:"problems,omitempty"`
 	// Detail is the platform's error, if Result is unavailable or uncertain.
@@ -53,8 +53,8 @@
 // Request says who asks for a change, of what version, under which change ID.
 type Request struct {
 	// ID identifies the change over repeated requests, such as a ULID.
-	ID  string
-	Who string
+	ID       string
+	Operator string
 	// Base is the workspace version that the operator has seen; 0 is none yet.
 	Base uint64
 }
@@ -67,7 +67,7 @@
 	if r.ID == "" || len(r.ID) > maxRequestField || strings.ContainsAny(r.ID, "/ \n") {
 		out = append(out, declare.Problem{Line: 1, Field: "id", Message: "want a change ID of up to 100 bytes, without slashes and spaces"})
 	}
-	if r.Who == "" || len(r.Who) > maxRequestField {
+	if r.Operator == "" || len(r.Operator) > maxRequestField {
 		out = append(out, declare.Problem{Line: 1, Field: "who", Message: "want an operator's name of up to 100 bytes"})
 	}
 	return out
@@ -155,7 +155,7 @@
 // finish counts and logs the end of a request, and pushes what it changed.
 func (c *Controller) finish(req Request, out Outcome) Outcome {
 	c.events.Add("request_"+string(out.Result), 1)
-	fields := []zap.Field{zap.String("change", req.ID), zap.String("who", req.Who), zap.String("result", string(out.Result))}
+	fields := []zap.Field{zap.String("change", req.ID), zap.String("who", req.Operator), zap.String("result", string(out.Result))}
 	if out.Change != nil {
 		fields = append(fields, zap.String("workspace", out.Change.Workspace.Name), zap.Uint64("sequence", out.Change.Sequence))
 	}
@@ -244,7 +244,7 @@
 }
 
 func describe(ch Change) string {
-	return fmt.Sprintf("workspace %s version %d by %s", ch.Workspace.Name, ch.Workspace.Version, ch.Who)
+	return fmt.Sprintf("workspace %s version %d by %s", ch.Workspace.Name, ch.Workspace.Version, ch.Operator)
 }
 
 // readChange returns a change from the log.
@@ -262,7 +262,7 @@
 func conflict(b base) Outcome {
 	out := Outcome{Result: ResultConflict}
 	if b.workspace.Version != 0 {
-		out.Other = &b.present
+		out.Conflicting = &b.present
 	}
 	return out
 }
@@ -295,13 +295,13 @@
 // commitDraft commits the change in one transaction.
 func (c *Controller) commitDraft(ctx context.Context, req Request, b base, d draft) (Outcome, bool, error) {
 	ch := Change{
-		Sequence:   b.head.Sequence + 1,
-		ID:         req.ID,
-		Who:        req.Who,
-		When:       c.Now().UTC().Truncate(time.Millisecond),
-		RollbackTo: d.rollbackTo,
-		Workspace:  d.workspace,
-		Source:     d.source,
+		Sequence:    b.head.Sequence + 1,
+		ID:          req.ID,
+		Operator:    req.Operator,
+		CommittedAt: c.Now().UTC().Truncate(time.Millisecond),
+		RollbackTo:  d.rollbackTo,
+		Workspace:   d.workspace,
+		Source:      d.source,
 	}
 	ch.Workspace.Version = req.Base + 1
 	ctx, cancel := context.WithTimeout(ctx, c.Timings.ReadTimeout)
--- a/controller/config/config_test.go
+++ b/controller/config/config_test.go
@@ -87,12 +87,12 @@
 		assert.Equal(t, plan.Differences[0].String(), "~ maxInFlight: 8 -> 9")
 		assert.Check(t, len(plan.Differences) == 1 && plan.Base == 2)
 
-		out := c.Rollback(ctx, config.RollbackRequest{Request: config.Request{ID: "c4", Who: "eva", Base: 2}, Workspace: "w", To: 1})
+		out := c.Rollback(ctx, config.RollbackRequest{Request: config.Request{ID: "c4", Operator: "eva", Base: 2}, Workspace: "w", To: 1})
 		assert.Check(t, out.Result == config.ResultApplied && out.Change.Sequence == 3 && out.Change.Workspace.MaxInFlight == 7)
 		for _, name := range []string{"w", ""} {
 			past, err := c.History(ctx, name, 2)
 			assert.NilError(t, err)
-			assert.Check(t, len(past) == 2 && past[0].Who == "eva" && past[0].RollbackTo == 1 && past[1].ID == "c2", "%+v", past)
+			assert.Check(t, len(past) == 2 && past[0].Operator == "eva" && past[0].RollbackTo == 1 && past[1].ID == "c2", "%+v", past)
 		}
 	})
 }
@@ -115,7 +115,7 @@
 		}
 		assert.Equal(t, first.Result, config.ResultApplied)
 		assert.Equal(t, second.Result, config.ResultConflict)
-		assert.Equal(t, second.Other.Who, first.Change.Who)
+		assert.Equal(t, second.Conflicting.Operator, first.Change.Operator)
 		pass(time.Second)
 		assertSequences(t, f, 1)
 	})
@@ -345,7 +345,7 @@
 		apply := func(ws config.File, tpl *config.File, want string) {
 			t.Helper()
 			out := h[1].Controller.Apply(context.Background(), config.ApplyRequest{
-				Request: config.Request{ID: "c9", Who: "eva"}, Workspace: ws, Template: tpl,
+				Request: config.Request{ID: "c9", Operator: "eva"}, Workspace: ws, Template: tpl,
 			})
 			assert.Equal(t, out.Result, config.ResultInvalid)
 			assert.ErrorContains(t, out.Problems, want)
--- a/controller/config/query.go
+++ b/controller/config/query.go
@@ -67,9 +67,9 @@
 // Status tells which hosts have a change in force.
 type Status struct {
 	// Sequence is the change asked about, Own what this host has in force.
-	Sequence  uint64 `json:"sequence"`
-	Own       uint64 `json:"own"`
-	Confirmed bool   `json:"confirmed"`
+	Sequence      uint64 `json:"sequence"`
+	LocalSequence uint64 `json:"own"`
+	Confirmed     bool   `json:"confirmed"`
 	// InForce is set if no host is pending.
 	InForce bool `json:"inForce"`
 	// Pending are the hosts that have not acknowledged the change. Leaving
@@ -85,7 +85,7 @@
 	if sequence == 0 {
 		sequence = cfg.Sequence
 	}
-	out := Status{Sequence: sequence, Own: cfg.Sequence, Confirmed: c.Fresh()}
+	out := Status{Sequence: sequence, LocalSequence: cfg.Sequence, Confirmed: c.Fresh()}
 	out.Hosts = c.hostStatus(ctx, sequence)
 	for _, h := range out.Hosts {
 		if h.Sequence < sequence && h.State != stateNames[blackboard.MemberLeaving] {
--- a/controller/config/random_test.go
+++ b/controller/config/random_test.go
@@ -190,7 +190,7 @@
 	key := who + "/" + workspace
 	r.mu.Lock()
 	base := r.seen[key]
-	req := config.Request{ID: fmt.Sprint("c", r.nth.Add(1)), Who: who, Base: base}
+	req := config.Request{ID: fmt.Sprint("c", r.nth.Add(1)), Operator: who, Base: base}
 	q := &request{who: who, workspace: workspace, base: base, value: value, called: time.Now()}
 	q.send = func(h *confignet.Host) config.Outcome { return send(req, h) }
 	r.requests = append(r.requests, q)
@@ -204,8 +204,8 @@
 		switch {
 		case out.Change != nil:
 			r.seen[key] = out.Change.Workspace.Version
-		case out.Result == config.ResultConflict && out.Other != nil:
-			r.seen[key] = out.Other.Workspace.Version
+		case out.Result == config.ResultConflict && out.Conflicting != nil:
+			r.seen[key] = out.Conflicting.Workspace.Version
 		}
 	})
 }
--- a/controller/config/watch_test.go
+++ b/controller/config/watch_test.go
@@ -267,10 +267,10 @@
 	case config.ResultUnchanged:
 		return s.version == q.base && s.value == value, s
 	case config.ResultConflict:
-		if q.out.Other == nil {
+		if q.out.Conflicting == nil {
 			return s.version == 0 && q.base != 0, s
 		}
-		return s.version != q.base && q.out.Other.Workspace.Version == s.version, s
+		return s.version != q.base && q.out.Conflicting.Workspace.Version == s.version, s
 	case config.ResultUnavailable:
 		return true, s
 	case config.ResultInvalid:
--- a/internal/bench/confignet/files.go
+++ b/internal/bench/confignet/files.go
@@ -48,7 +48,7 @@
 // Change returns a request to set a workspace to what Workspace returns.
 func Change(id, who, name string, base uint64, maxInFlight int) config.ApplyRequest {
 	return config.ApplyRequest{
-		Request:   config.Request{ID: id, Who: who, Base: base},
+		Request:   config.Request{ID: id, Operator: who, Base: base},
 		Workspace: Workspace(name, maxInFlight),
 		Template:  Template(),
 	}
--- a/operator/client/show.go
+++ b/operator/client/show.go
@@ -39,7 +39,7 @@
 	case config.ResultUnchanged:
 		fmt.Fprintf(c.out, "unchanged: workspace %s is as declared, at version %d\n", res.Change.Workspace.Name, res.Change.Workspace.Version)
 	case config.ResultConflict:
-		fmt.Fprintln(c.err, "conflict: nothing was changed;", otherChange(res.Other))
+		fmt.Fprintln(c.err, "conflict: nothing was changed;", otherChange(res.Conflicting))
 		return ExitConflict
 	case config.ResultInvalid:
 		return c.showProblems(res.Problems)
@@ -67,7 +67,7 @@
 }
 
 func (c *command) showStatus(st config.Status) {
-	fmt.Fprintf(c.out, "sequence=%d own=%d confirmed=%t in_force=%t pending=%d\n", st.Sequence, st.Own, st.Confirmed, st.InForce, len(st.Pending))
+	fmt.Fprintf(c.out, "sequence=%d own=%d confirmed=%t in_force=%t pending=%d\n", st.Sequence, st.LocalSequence, st.Confirmed, st.InForce, len(st.Pending))
 	for _, h := range st.Hosts {
 		fmt.Fprintf(c.out, "host=%s zone=%s state=%s sequence=%d\n", h.ID, h.Zone, h.State, h.Sequence)
 	}
@@ -86,7 +86,7 @@
 // describe returns a change in one line.
 func describe(ch config.Change) string {
 	line := fmt.Sprintf("sequence=%d workspace=%s version=%d who=%q when=%s change=%s",
-		ch.Sequence, ch.Workspace.Name, ch.Workspace.Version, ch.Who, ch.When.Format(time.RFC3339), ch.ID)
+		ch.Sequence, ch.Workspace.Name, ch.Workspace.Version, ch.Operator, ch.CommittedAt.Format(time.RFC3339), ch.ID)
 	if ch.RollbackTo > 0 {
 		line += fmt.Sprintf(" rollback_to=%d", ch.RollbackTo)
 	}
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -88,7 +88,7 @@
 		return
 	}
 	out := a.Config.Apply(r.Context(), config.ApplyRequest{
-		Request:   config.Request{ID: req.ID, Who: req.Who, Base: *req.Base},
+		Request:   config.Request{ID: req.ID, Operator: req.Who, Base: *req.Base},
 		Workspace: req.Workspace,
 		Template:  req.Template,
 	})
@@ -101,7 +101,7 @@
 		return
 	}
 	out := a.Config.Rollback(r.Context(), config.RollbackRequest{
-		Request:   config.Request{ID: req.ID, Who: req.Who, Base: *req.Base},
+		Request:   config.Request{ID: req.ID, Operator: req.Who, Base: *req.Base},
 		Workspace: req.Workspace,
 		To:        req.To,
 	})
