--- a/controller/config/change.go
+++ b/controller/config/change.go
@@ -11,30 +11,31 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Change is one accepted change: a workspace as it is from this sequence number
-// on.
+// Change is a committed change: the state of a workspace from this sequence number on.
 type Change struct {
-	// Sequence counts all changes, from 1 and without gaps.
+	// Sequence numbers all changes of all workspaces, from 1 and without gaps.
 	Sequence uint64 `msgpack:"sequence" json:"sequence"`
-	// ID was chosen by the operator's client; it tells a repeated request.
+	// ID is chosen by the operator's client and identifies repeated requests.
 	ID string `msgpack:"id" json:"id"`
-	// Operator is the operator's name and When the committing host's time.
+	// Operator is the name of the operator, CommittedAt the time by the committing host's
+	// clock.
 	Operator    string    `msgpack:"who" json:"who"`
 	CommittedAt time.Time `msgpack:"when" json:"when"`
-	// RollbackTo is the workspace version that was brought back, or 0.
+	// RollbackTo is the workspace version that was restored, or 0.
 	RollbackTo uint64            `msgpack:"rollback_to" json:"rollbackTo,omitempty"`
 	Workspace  declare.Workspace `msgpack:"workspace" json:"workspace"`
-	// Source is the workspace file. It is kept in the table but not pushed.
+	// Source is the text of the workspace file. It is stored in the table but not sent to
+	// peers.
 	Source string `msgpack:"source,omitempty" json:"source,omitempty"`
 }
 
-// delta returns the change as peers need it.
-func (c Change) delta() Change {
+// withoutSource returns the change as it is sent to peers.
+func (c Change) withoutSource() Change {
 	c.Source = ""
 	return c
 }
 
-// headRow is the value of the head row: the newest change.
+// headRow is the value of the head row. It identifies the newest change.
 type headRow struct {
 	Sequence uint64 `msgpack:"sequence"`
 	ChangeID string `msgpack:"change_id"`
@@ -57,7 +58,8 @@
 	return fmt.Sprintf("%s%020d", prefixVersions(name), version)
 }
 
-// encode returns the row value of v, whose types are all this package's own.
+// encode returns the stored form of v, whose type must be one of this package. It panics
+// on failure, which can only be a programming error.
 func encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
@@ -66,7 +68,7 @@
 	return b
 }
 
-// decodeRow reads a row's value; an absent row leaves the zero value.
+// decodeRow decodes the value of a row. An absent row yields the zero value.
 func decodeRow[T any](r ports.Row) (T, error) {
 	var v T
 	if r.Version == 0 {
--- a/controller/config/commit.go
+++ b/controller/config/commit.go
@@ -14,48 +14,53 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Result tells what became of an operator's request.
+// Result is the result of an operator's request.
 type Result string
 
 const (
-	// ResultApplied means that the change is committed. It is in force
-	// everywhere once Status says so.
+	// ResultApplied means that the change is committed. Status reports when it is in
+	// force on every host.
 	ResultApplied Result = "applied"
-	// ResultUnchanged means that the workspace already is as declared.
+	// ResultUnchanged means that the workspace already has the declared state.
 	ResultUnchanged Result = "unchanged"
-	// ResultConflict means that the workspace is no longer at the version that
-	// the request was based on; nothing was changed.
+	// ResultConflict means that the workspace is no longer at the version that the
+	// request is based on. Nothing was changed.
 	ResultConflict Result = "conflict"
-	// ResultInvalid means that the declaration was refused; nothing was changed.
+	// ResultInvalid means that the declaration or the request was rejected. Nothing was
+	// changed.
 	ResultInvalid Result = "invalid"
-	// ResultUnavailable means that the platform gave no answer and that nothing
-	// was changed, now or later.
+	// ResultUnavailable means that the platform didn't answer. Nothing was changed, nor
+	// will it be.
 	ResultUnavailable Result = "unavailable"
-	// ResultUncertain means that the change may have been committed. The same
-	// request with the same change ID finds out and never applies twice.
+	// ResultUncertain means that the change may have been committed. Repeating the
+	// request with the same change ID reveals the outcome and never applies the change
+	// twice.
 	ResultUncertain Result = "uncertain"
 )
 
-// Outcome is the answer to an operator's request.
+// Outcome is the reply to an operator's request.
 type Outcome struct {
 	Result Result `json:"result"`
-	// Change is the committed change, if Result is applied.
+	// Change is the committed change if Result is applied, and the current one if Result
+	// is unchanged.
 	Change *Change `json:"change,omitempty"`
-	// Conflicting is the change that was there first, if Result is conflict; nil if
-	// the workspace does not exist.
+	// Conflicting is the current change of the workspace if Result is conflict, or nil if
+	// the workspace doesn't exist.
 	Conflicting *Change `json:"other,omitempty"`
-	// Problems are set if Result is invalid.
+	// Problems are the reasons for rejection if Result is invalid.
 	Problems declare.Problems `json:"problems,omitempty"`
-	// Detail is the platform's error, if Result is unavailable or uncertain.
+	// Detail is the platform's error if Result is unavailable or uncertain.
 	Detail string `json:"detail,omitempty"`
 }
 
-// Request says who asks for a change, of what version, under which change ID.
+// Request identifies a change, the operator who asks for it, and the version it is based
+// on.
 type Request struct {
-	// ID identifies the change over repeated requests, such as a ULID.
+	// ID identifies the change across repeated requests, such as a ULID.
 	ID       string
 	Operator string
-	// Base is the workspace version that the operator has seen; 0 is none yet.
+	// Base is the workspace version that the operator has seen, or 0 if the workspace is
+	// new.
 	Base uint64
 }
 
@@ -73,25 +78,25 @@
 	return out
 }
 
-// Times between attempts to commit.
+// Bounds of the exponential backoff between attempts to commit.
 const (
-	firstRetry = 20 * time.Millisecond
-	lastRetry  = 500 * time.Millisecond
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 )
 
-// proposal makes the change of a request from what the table holds.
+// proposal builds the change that a request asks for from the contents of the table.
 type proposal interface {
 	workspace() string
-	// keys are further rows to read.
+	// keys returns the keys of the further rows that build needs.
 	keys() []string
-	// build returns the content of the change. The error is declare.Problems
-	// if the request is refused, or else the platform's.
+	// build returns the content of the change. The error is a declare.Problems if the
+	// request is rejected, otherwise it comes from the platform.
 	build(ctx context.Context, extra []ports.Row) (draft, error)
-	// made reports whether a change is what this proposal asks for.
-	made(ch Change) bool
+	// matches reports whether a committed change is the one that this proposal asks for.
+	matches(ch Change) bool
 }
 
-// draft is the content of a change before it has a sequence number.
+// draft is the content of a change that has no sequence number yet.
 type draft struct {
 	workspace  declare.Workspace
 	source     string
@@ -99,35 +104,35 @@
 	ops        []ports.Op
 }
 
-// base is what the table holds before a commit.
+// base is the state of the table that a commit is based on.
 type base struct {
-	head      headRow
-	headRow   ports.Row
-	change    ports.Row
-	workspace ports.Row
-	present   Change
-	extra     []ports.Row
+	head         headRow
+	headRow      ports.Row
+	changeRow    ports.Row
+	workspaceRow ports.Row
+	current      Change
+	extraRows    []ports.Row
 }
 
-// commit repeats a proposal until it is committed, refused or out of time.
+// commit retries a proposal until it is committed, rejected or out of time.
 //
-// An answer that was lost leaves open whether the change took effect, or still
-// may. The next attempt reads the row of the change ID: if it is there, the
-// change did. If not, the change is committed again under the same ID; both
-// attempts compare the same rows, so whichever comes first makes the other
-// fail, and the attempt after that finds the row.
+// After a lost reply the transaction may have taken effect or may still do so. The next
+// attempt therefore reads the row of the change ID: if it exists, the change is
+// committed. Otherwise the change is committed again under the same ID. Both attempts
+// compare the versions of the same rows, so whichever is first makes the other fail, and
+// the attempt after that finds the row.
 //
-// The work goes on when the operator's connection breaks: a commit abandoned
-// half way would be found by the other hosts' polls only.
+// The work continues if the operator's connection breaks: other hosts would learn of an
+// abandoned commit only by polling.
 func (c *Controller) commit(ctx context.Context, req Request, p proposal) Outcome {
 	if problems := req.check(); problems != nil {
 		return c.finish(req, Outcome{Result: ResultInvalid, Problems: problems})
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Timings.Resolve)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.Timings.CommitTimeout)
 	defer cancel()
 	uncertain := false
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = firstRetry, lastRetry
+	wait.InitialInterval, wait.MaxInterval = minRetryDelay, maxRetryDelay
 	for {
 		out, done, err := c.attempt(ctx, req, p)
 		if done {
@@ -139,20 +144,21 @@
 		}
 		select {
 		case <-ctx.Done():
-			return c.finish(req, unfinished(uncertain, ctx.Err()))
+			return c.finish(req, timeoutOutcome(uncertain, ctx.Err()))
 		case <-time.After(wait.NextBackOff()):
 		}
 	}
 }
 
-func unfinished(uncertain bool, err error) Outcome {
+func timeoutOutcome(uncertain bool, err error) Outcome {
 	if uncertain {
 		return Outcome{Result: ResultUncertain, Detail: err.Error()}
 	}
 	return Outcome{Result: ResultUnavailable, Detail: err.Error()}
 }
 
-// finish counts and logs the end of a request, and pushes what it changed.
+// finish counts and logs the outcome of a request, and applies and pushes the change if
+// there is one.
 func (c *Controller) finish(req Request, out Outcome) Outcome {
 	c.events.Add("request_"+string(out.Result), 1)
 	fields := []zap.Field{zap.String("change", req.ID), zap.String("who", req.Operator), zap.String("result", string(out.Result))}
@@ -163,32 +169,32 @@
 	if out.Result != ResultApplied {
 		return out
 	}
-	if c.applyChange(*out.Change, eventCommit) == appliedGap {
-		c.wake()
+	if c.applyChange(*out.Change, eventCommit) == applyGap {
+		c.triggerPoll()
 	}
 	c.push(*out.Change)
 	c.requestSnapshot()
 	return out
 }
 
-// attempt reads, compares and commits once. It is not done if the head row
-// moved under it or the answer was lost.
+// attempt reads the table, validates the change and tries to commit it once. done is
+// false if the head row moved in between or the reply was lost.
 func (c *Controller) attempt(ctx context.Context, req Request, p proposal) (out Outcome, done bool, err error) {
 	before := c.Sequence()
 	b, err := c.readBase(ctx, req, p)
 	if err != nil {
 		return Outcome{}, false, err
 	}
-	if c.isBehind(b.head, before) {
+	if c.isStoreBehind(b.head, before) {
 		return Outcome{}, false, errStoreBehind
 	}
-	if b.change.Version != 0 {
+	if b.changeRow.Version != 0 {
 		return c.alreadyCommitted(ctx, b, p)
 	}
-	if b.workspace.Version != req.Base {
+	if b.workspaceRow.Version != req.Base {
 		return conflict(b), true, nil
 	}
-	d, err := p.build(ctx, b.extra)
+	d, err := p.build(ctx, b.extraRows)
 	if problems := declare.Problems(nil); errors.As(err, &problems) {
 		return Outcome{Result: ResultInvalid, Problems: problems}, true, nil
 	}
@@ -196,10 +202,10 @@
 		return Outcome{}, false, err
 	}
 	d.workspace.Version = req.Base
-	if req.Base > 0 && len(declare.Diff(&b.present.Workspace, &d.workspace)) == 0 {
-		return Outcome{Result: ResultUnchanged, Change: &b.present}, true, nil
+	if req.Base > 0 && len(declare.Diff(&b.current.Workspace, &d.workspace)) == 0 {
+		return Outcome{Result: ResultUnchanged, Change: &b.current}, true, nil
 	}
-	problems, err := c.clashes(ctx, b.head.Sequence, d.workspace)
+	problems, err := c.hostNameConflicts(ctx, b.head.Sequence, d.workspace)
 	if err != nil {
 		return Outcome{}, false, err
 	}
@@ -215,19 +221,19 @@
 	if err != nil {
 		return base{}, err
 	}
-	b := base{headRow: rows[0], change: rows[1], workspace: rows[2], extra: rows[3:]}
+	b := base{headRow: rows[0], changeRow: rows[1], workspaceRow: rows[2], extraRows: rows[3:]}
 	if b.head, err = decodeRow[headRow](b.headRow); err != nil {
 		return base{}, err
 	}
-	b.present, err = decodeRow[Change](b.workspace)
+	b.current, err = decodeRow[Change](b.workspaceRow)
 	return b, err
 }
 
-// alreadyCommitted answers a repeated request with the change it made. An ID
-// that was used for something else is refused: its change says nothing about
-// this request, and the operator would believe that it was applied.
+// alreadyCommitted answers a repeated request with the change that it made. An ID that
+// belongs to a different change is rejected: otherwise the operator would believe that
+// this request was applied.
 func (c *Controller) alreadyCommitted(ctx context.Context, b base, p proposal) (Outcome, bool, error) {
-	sequence, err := decodeRow[uint64](b.change)
+	sequence, err := decodeRow[uint64](b.changeRow)
 	if err != nil {
 		return Outcome{}, false, err
 	}
@@ -235,7 +241,7 @@
 	if err != nil {
 		return Outcome{}, false, err
 	}
-	if !p.made(ch) {
+	if !p.matches(ch) {
 		problem := declare.Problem{Line: 1, Field: "id", Message: "change ID was used for another change: " + describe(ch)}
 		return Outcome{Result: ResultInvalid, Problems: declare.Problems{problem}}, true, nil
 	}
@@ -247,7 +253,7 @@
 	return fmt.Sprintf("workspace %s version %d by %s", ch.Workspace.Name, ch.Workspace.Version, ch.Operator)
 }
 
-// readChange returns a change from the log.
+// readChange reads a change from the log.
 func (c *Controller) readChange(ctx context.Context, sequence uint64) (Change, error) {
 	rows, err := c.get(ctx, keyLog(sequence))
 	if err != nil {
@@ -261,16 +267,17 @@
 
 func conflict(b base) Outcome {
 	out := Outcome{Result: ResultConflict}
-	if b.workspace.Version != 0 {
-		out.Conflicting = &b.present
+	if b.workspaceRow.Version != 0 {
+		out.Conflicting = &b.current
 	}
 	return out
 }
 
-// clashes checks a workspace against all others: two that share a host name
-// would get each other's calls. The check sees the configuration at the head
-// row that the commit compares, so no change can slip in between.
-func (c *Controller) clashes(ctx context.Context, head uint64, ws declare.Workspace) (declare.Problems, error) {
+// hostNameConflicts checks the host names of a workspace against those of all others: two
+// workspaces that share one would receive each other's calls. It checks against the
+// configuration at the head row whose version the commit compares, so that no change can
+// come in between.
+func (c *Controller) hostNameConflicts(ctx context.Context, head uint64, ws declare.Workspace) (declare.Problems, error) {
 	if err := c.catchUp(ctx, head); err != nil {
 		return nil, err
 	}
@@ -306,7 +313,7 @@
 	ch.Workspace.Version = req.Base + 1
 	ctx, cancel := context.WithTimeout(ctx, c.Timings.ReadTimeout)
 	defer cancel()
-	res, err := c.Table.Commit(ctx, append(d.ops, operations(b, ch)...)...)
+	res, err := c.Table.Commit(ctx, append(d.ops, changeOps(b, ch)...)...)
 	if err != nil {
 		if errors.Is(err, ports.ErrUncertain) {
 			c.retried.Add("answer_lost", 1)
@@ -320,15 +327,16 @@
 	return Outcome{Result: ResultApplied, Change: &ch}, true, nil
 }
 
-// operations writes a change: the workspace compared by version, the head row
-// compared so that sequence numbers have neither gaps nor twins, the log, and
-// the rows that find a change by its ID and by workspace version.
-func operations(b base, ch Change) []ports.Op {
+// changeOps returns the operations that write a change. The version of the workspace row
+// is compared to detect conflicts, and that of the head row so that sequence numbers have
+// neither gaps nor duplicates. The other rows are the log entry and the indexes by change
+// ID and by workspace version.
+func changeOps(b base, ch Change) []ports.Op {
 	value := encode(ch)
 	name := ch.Workspace.Name
 	return []ports.Op{
 		{Kind: ports.OpUpdate, Key: keyHead, Version: b.headRow.Version, Value: encode(headRow{ch.Sequence, ch.ID})},
-		{Kind: ports.OpUpdate, Key: keyWorkspace(name), Version: b.workspace.Version, Value: value},
+		{Kind: ports.OpUpdate, Key: keyWorkspace(name), Version: b.workspaceRow.Version, Value: value},
 		{Kind: ports.OpInsert, Key: keyLog(ch.Sequence), Value: value},
 		{Kind: ports.OpInsert, Key: keyChange(ch.ID), Value: encode(ch.Sequence)},
 		{Kind: ports.OpInsert, Key: keyVersion(name, ch.Workspace.Version), Value: encode(ch.Sequence)},
--- a/controller/config/config.go
+++ b/controller/config/config.go
@@ -1,8 +1,12 @@
-// Package config is the controller that keeps the configuration in force on a
-// host: it commits operators' changes to the platform's table, pushes them to
-// the other hosts, and applies what others committed. Only higher sequence
-// numbers are ever applied, so that nothing reverts, and the host says that it
-// is not ready while it can not tell whether it holds the newest configuration.
+// Package config keeps the configuration of a host up to date. It commits operators'
+// changes to the platform's table in one transaction each, pushes them to the other hosts
+// along a tree, and applies changes that other hosts committed.
+//
+// Every change has a sequence number. A host learns of new ones by pushes, by polling the
+// head row of the table, from heartbeats, and by querying its peers, and fetches what it
+// lacks from the table or from a peer. Only higher sequence numbers are ever applied, so
+// a configuration never goes back. A host whose configuration was not confirmed as the
+// newest within Timings.ConfirmationTTL, by the store or by peers, is not ready.
 package config
 
 import (
@@ -22,8 +26,8 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Deps is what a controller works with. All fields but Timings, Now and
-// Rand are required.
+// Deps are the dependencies of a Controller. All fields but Timings, Now and Rand are
+// required.
 type Deps struct {
 	Board   *blackboard.Board
 	Table   ports.Table
@@ -31,65 +35,69 @@
 	Link    peer.Link
 	Metrics *metrics.Set
 	Log     *zap.Logger
-	// Timings is replaced by DefaultTimings if it is the zero value.
+	// Timings defaults to DefaultTimings if it is the zero value.
 	Timings Timings
-	// Now is time.Now unless a test moves the clock of one host.
+	// Now is the host's clock, time.Now by default. Tests replace it to shift the clock
+	// of one host.
 	Now func() time.Time
-	// Rand spreads polls and picks peers; nil takes a random seed.
+	// Rand adds jitter to polls and picks peers. If nil, it is randomly seeded.
 	Rand *rand.Rand
 }
 
-// Timings are the periods and sizes of the controller.
+// Timings are the intervals, timeouts and limits of the controller.
 type Timings struct {
-	// Poll is the time between two reads of the head row, give or take a tenth.
-	Poll time.Duration
-	// ReadTimeout bounds one operation on the platform. A store that is slower
-	// counts as out. It must be below Lapse.
+	// PollInterval is the time between two reads of the head row, with 10% jitter.
+	PollInterval time.Duration
+	// ReadTimeout bounds one operation on the platform; a slower store counts as
+	// unavailable. It must be below ConfirmationTTL.
 	ReadTimeout time.Duration
 	// PeerTimeout bounds one call to another host.
 	PeerTimeout time.Duration
-	// StoreQuiet is the time without an answer from the store after which the
-	// host asks its peers instead.
-	StoreQuiet time.Duration
-	// Lapse is how long a confirmation holds: a host that serves has confirmed
-	// its configuration within Lapse.
-	Lapse time.Duration
-	// PeerAge is the age of evidence above which a host that has it from a few peers
-	// asks all others. With a round of questions every Poll and a tenth, begun up to a
-	// Tick late, and two PeerTimeouts in a round, it has to be a little below a quarter
-	// of Lapse, so that the new evidence is there before the old lapses.
-	PeerAge time.Duration
-	// Tick is the time between two looks at the host's own clock.
-	Tick time.Duration
-	// Pause is the gap between two ticks that counts as a pause of the host.
-	Pause time.Duration
-	// Resolve bounds the search for the outcome of a commit.
-	Resolve time.Duration
-	// Fanout bounds the copies of a change that one host sends.
+	// PeerFallbackDelay is how long the store may be silent before the host queries its
+	// peers instead.
+	PeerFallbackDelay time.Duration
+	// ConfirmationTTL is how long a confirmation is valid. A host that serves has
+	// confirmed its configuration within this time.
+	ConfirmationTTL time.Duration
+	// PeerRefreshAge is the age above which a confirmation by a few peers makes the host
+	// query all others. Rounds of queries follow each other after PollInterval plus 10%,
+	// start up to a ClockInterval late and take up to two PeerTimeouts, so the age has to
+	// be a little below a quarter of ConfirmationTTL for the next confirmation to arrive
+	// before the present one expires.
+	PeerRefreshAge time.Duration
+	// ClockInterval is the time between two checks of the host's own clock.
+	ClockInterval time.Duration
+	// PauseThreshold is the gap between two clock checks from which on the host counts as
+	// having been paused.
+	PauseThreshold time.Duration
+	// CommitTimeout bounds a commit with its retries, including the search for its
+	// outcome.
+	CommitTimeout time.Duration
+	// Fanout bounds the number of hosts to which one host sends a change.
 	Fanout int
-	// Pollers bounds the hosts that poll the store; the others ask them.
-	Pollers int
+	// MaxPollers bounds the number of hosts that poll the store; the others query their peers.
+	MaxPollers int
 }
 
-// DefaultTimings returns the timings that the figures in
-// docs/design/configuration.md were measured with.
+// DefaultTimings returns the timings for production. The propagation times in
+// docs/design/configuration.md were measured with them.
 func DefaultTimings() Timings {
 	return Timings{
-		Poll:        time.Second,
-		ReadTimeout: 2500 * time.Millisecond,
-		PeerTimeout: 400 * time.Millisecond,
-		StoreQuiet:  1500 * time.Millisecond,
-		Lapse:       3 * time.Second,
-		PeerAge:     700 * time.Millisecond,
-		Tick:        250 * time.Millisecond,
-		Pause:       2 * time.Second,
-		Resolve:     10 * time.Second,
-		Fanout:      8,
-		Pollers:     32,
+		PollInterval:      time.Second,
+		ReadTimeout:       2500 * time.Millisecond,
+		PeerTimeout:       400 * time.Millisecond,
+		PeerFallbackDelay: 1500 * time.Millisecond,
+		ConfirmationTTL:   3 * time.Second,
+		PeerRefreshAge:    700 * time.Millisecond,
+		ClockInterval:     250 * time.Millisecond,
+		PauseThreshold:    2 * time.Second,
+		CommitTimeout:     10 * time.Second,
+		Fanout:            8,
+		MaxPollers:        32,
 	}
 }
 
-// Controller keeps one host's configuration. Its methods are safe for
+// Controller keeps one host's configuration up to date. Its methods are safe for
 // concurrent use.
 type Controller struct {
 	Deps
@@ -100,37 +108,41 @@
 	// randMu guards Deps.Rand.
 	randMu sync.Mutex
 
-	// mu serialises changes of the configuration.
-	mu     sync.Mutex
-	recent []Change
-	// admit decides whether a sequence number may replace the present one.
-	admit func(present, next uint64) bool
-
-	// evidence is when the newest confirmation was asked for; nil is none.
-	evidence atomic.Pointer[time.Time]
-	// storeSeen is when the store was last asked and did answer.
-	storeSeen atomic.Pointer[time.Time]
-	// storeFailed is set while the last answer from the store was an error.
+	// mu serialises changes to the configuration.
+	mu            sync.Mutex
+	recentChanges []Change
+	// accepts reports whether a sequence number may replace the current one. Tests
+	// replace it.
+	accepts func(present, next uint64) bool
+
+	// confirmedAt is the time as of which the configuration is known to be the newest:
+	// the start of the request that confirmed it, less the age of the reply. Nil if it
+	// isn't confirmed.
+	confirmedAt atomic.Pointer[time.Time]
+	// storeReadAt is the start of the last read of the head row that succeeded.
+	storeReadAt atomic.Pointer[time.Time]
+	// storeFailed is set while the last read from the store failed.
 	storeFailed atomic.Bool
-	// wokeAt is the end of the last pause; older evidence does not count.
-	wokeAt atomic.Pointer[time.Time]
+	// resumedAt is the end of the last pause. Replies to requests sent before don't
+	// confirm.
+	resumedAt atomic.Pointer[time.Time]
 
-	kick     chan struct{}
+	pollNow  chan struct{}
 	hints    chan hint
 	snapshot chan struct{}
 }
 
 const (
-	// hintQueue is the number of hosts known to be ahead that may wait.
-	hintQueue = 16
-	// maxPolls bounds the reads of the head row under way at once. A read that
-	// hangs must not keep the next from being sent, or the end of an outage
-	// would be seen a whole ReadTimeout late.
-	maxPolls = 3
+	// hintQueueSize bounds the queue of peers known to have a newer configuration.
+	hintQueueSize = 16
+	// maxConcurrentPolls bounds the reads of the head row in flight. A read that hangs
+	// must not delay the next, or the end of an outage would go unnoticed for up to
+	// ReadTimeout.
+	maxConcurrentPolls = 3
 )
 
-// New returns a controller and registers its handlers with the link, which must
-// not serve yet.
+// New returns a controller and registers its handlers with the link. The link must not be
+// serving yet.
 func New(deps Deps) *Controller {
 	if deps.Timings == (Timings{}) {
 		deps.Timings = DefaultTimings()
@@ -146,9 +158,9 @@
 		events:   deps.Metrics.Map("config_events"),
 		refused:  deps.Metrics.Map("config_refused"),
 		retried:  deps.Metrics.Map("config_retries"),
-		admit:    isNewer,
-		kick:     make(chan struct{}, 1),
-		hints:    make(chan hint, hintQueue),
+		accepts:  isNewer,
+		pollNow:  make(chan struct{}, 1),
+		hints:    make(chan hint, hintQueueSize),
 		snapshot: make(chan struct{}, 1),
 	}
 	deps.Metrics.Func("config_sequence", func() any { return c.Sequence() })
@@ -156,23 +168,23 @@
 	return c
 }
 
-// Run keeps the configuration until ctx ends. It returns an error only if the
-// blackboard can not be watched.
+// Run keeps the configuration up to date until ctx ends. It returns an error only if the
+// blackboard can't be watched.
 func (c *Controller) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return c.pollStore(ctx) })
 	g.Go(func() error { return c.watchClock(ctx) })
-	g.Go(func() error { return c.followHints(ctx) })
+	g.Go(func() error { return c.processHints(ctx) })
 	g.Go(func() error { return c.writeSnapshots(ctx) })
-	g.Go(func() error { return c.Board.Members.Watch(ctx, c.noticeMembers) })
+	g.Go(func() error { return c.Board.Members.Watch(ctx, c.onMembers) })
 	return g.Wait()
 }
 
-// pollStore reads the head row about once in Timings.Poll, and at once when it
-// is kicked.
+// pollStore reads the head row about once in every PollInterval, and immediately after
+// triggerPoll.
 func (c *Controller) pollStore(ctx context.Context) error {
 	var polls errgroup.Group
-	polls.SetLimit(maxPolls)
+	polls.SetLimit(maxConcurrentPolls)
 	defer func() { _ = polls.Wait() }()
 	for {
 		if c.isPoller() || !c.Fresh() {
@@ -184,20 +196,20 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-c.kick:
-		case <-time.After(c.jitter(c.Timings.Poll)):
+		case <-c.pollNow:
+		case <-time.After(c.jitter(c.Timings.PollInterval)):
 		}
 	}
 }
 
-// jitter spreads what the hosts do periodically, a tenth either way.
+// jitter varies an interval by up to 10% either way, so that the hosts don't act in step.
 func (c *Controller) jitter(d time.Duration) time.Duration {
 	c.randMu.Lock()
 	defer c.randMu.Unlock()
 	return time.Duration(float64(d) * (0.9 + 0.2*c.Rand.Float64()))
 }
 
-// pickHosts returns up to n of the hosts, at random; it reorders the slice.
+// pickHosts returns up to n of the hosts at random. It reorders the slice.
 func (c *Controller) pickHosts(hosts []peer.HostID, n int) []peer.HostID {
 	c.randMu.Lock()
 	defer c.randMu.Unlock()
@@ -205,10 +217,10 @@
 	return hosts[:min(n, len(hosts))]
 }
 
-// wake makes the next poll come at once.
-func (c *Controller) wake() {
+// triggerPoll starts the next poll immediately.
+func (c *Controller) triggerPoll() {
 	select {
-	case c.kick <- struct{}{}:
+	case c.pollNow <- struct{}{}:
 	default:
 	}
 }
--- a/controller/config/config_test.go
+++ b/controller/config/config_test.go
@@ -17,29 +17,29 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// bound is the time in which an accepted change has to be in force.
-const bound = 3 * time.Second
+// propagationBound is the time within which an accepted change has to be in force.
+const propagationBound = 3 * time.Second
 
-// onFleet runs a test in virtual time on hosts that have confirmed.
+// onFleet runs a test in virtual time on hosts that have confirmed their configuration.
 func onFleet(t *testing.T, hosts int, test func(t *testing.T, f *confignet.Fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := confignet.NewFleet(hosts)
 		defer func() {
 			f.Close()
-			pass(bound) // messages on their way end in the bubble
+			advanceTime(propagationBound) // let messages in flight end within the bubble
 		}()
-		pass(100 * time.Millisecond)
+		advanceTime(100 * time.Millisecond)
 		test(t, f)
 	})
 }
 
-func pass(d time.Duration) {
+func advanceTime(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// change applies a change by one host and requires the result.
+// change applies a change through a host and requires the result.
 func change(t *testing.T, h *confignet.Host, id string, base uint64, value int, want config.Result) config.Outcome {
 	t.Helper()
 	out := h.Controller.Apply(context.Background(), confignet.Change(id, "ana", "w", base, value))
@@ -62,7 +62,7 @@
 	}
 }
 
-func setFaults(f *confignet.Fleet, down bool) { f.Store.SetFaults(store.Faults{Down: down}) }
+func setStoreDown(f *confignet.Fleet, down bool) { f.Store.SetFaults(store.Faults{Down: down}) }
 
 func TestChangeIsInForceOnAllHostsAndInTheHistory(t *testing.T) {
 	onFleet(t, 5, func(t *testing.T, f *confignet.Fleet) {
@@ -74,7 +74,7 @@
 		assert.Check(t, plan.Base == 0 && len(plan.Differences) > 5)
 
 		change(t, h[0], "c1", 0, 7, config.ResultApplied)
-		pass(5 * time.Millisecond) // pushed, long before the next poll
+		advanceTime(5 * time.Millisecond) // pushed, long before the next poll
 		assertSequences(t, f, 1)
 		change(t, h[1], "c2", 1, 8, config.ResultApplied)
 		change(t, h[1], "c3", 2, 8, config.ResultUnchanged)
@@ -97,9 +97,9 @@
 	})
 }
 
-// Two operators change the same workspace from the same version at the same
-// moment, by different hosts. Both transactions compare the version, so one is
-// told who was first and with what, and nothing of its change takes effect.
+// Two operators change the same workspace from the same version at the same time, through
+// different hosts. Both transactions compare the version, so one operator gets the
+// other's change as a conflict, and nothing of the losing change takes effect.
 func TestSecondOperatorSeesTheFirstOnesChange(t *testing.T) {
 	onFleet(t, 3, func(t *testing.T, f *confignet.Fleet) {
 		h := f.Hosts()
@@ -116,35 +116,36 @@
 		assert.Equal(t, first.Result, config.ResultApplied)
 		assert.Equal(t, second.Result, config.ResultConflict)
 		assert.Equal(t, second.Conflicting.Operator, first.Change.Operator)
-		pass(time.Second)
+		advanceTime(time.Second)
 		assertSequences(t, f, 1)
 	})
 }
 
-// The operator's commit takes effect but its answer is lost. The host finds the
-// change by its ID and reports it as applied; it is not applied a second time.
+// A commit takes effect but its reply is lost. The host finds the change by its ID and
+// reports it as applied; it is not applied a second time.
 func TestLostAnswerIsResolvedByTheChangeID(t *testing.T) {
 	onFleet(t, 3, func(t *testing.T, f *confignet.Fleet) {
 		var writes atomic.Int64
 		f.Store.SetFaults(store.Faults{LoseReply: func() bool { return writes.Add(1) == 1 }})
 		change(t, f.Hosts()[0], "c1", 0, 7, config.ResultApplied)
 		change(t, f.Hosts()[1], "c1", 0, 7, config.ResultApplied)
-		pass(time.Second)
+		advanceTime(time.Second)
 		assertSequences(t, f, 1)
 	})
 }
 
-// The answer is lost and the store goes down before the host can look for the
-// change. The operator is told uncertain, not failed; the same request after
-// the outage finds the change, which the other hosts have had since then.
+// The reply to a commit is lost and the store goes down before the host can look for the
+// change. The operator is told that the outcome is uncertain, not that it failed. The
+// same request after the outage finds the change, which the other hosts have applied
+// since.
 func TestUncertainChangeIsFoundAfterTheOutage(t *testing.T) {
 	onFleet(t, 3, func(t *testing.T, f *confignet.Fleet) {
-		f.Store.SetFaults(store.Faults{LoseReply: func() bool { setFaultsLater(f); return true }})
+		f.Store.SetFaults(store.Faults{LoseReply: func() bool { setStoreDownLater(f); return true }})
 		change(t, f.Hosts()[0], "c1", 0, 7, config.ResultUncertain)
 		assertSequences(t, f, 0)
 		change(t, f.Hosts()[0], "c2", 0, 8, config.ResultUnavailable)
-		setFaults(f, false)
-		pass(bound)
+		setStoreDown(f, false)
+		advanceTime(propagationBound)
 		assertSequences(t, f, 1)
 		out := change(t, f.Hosts()[2], "c1", 0, 7, config.ResultApplied)
 		assert.Equal(t, out.Change.Sequence, uint64(1))
@@ -153,14 +154,13 @@
 	})
 }
 
-func setFaultsLater(f *confignet.Fleet) {
-	go setFaults(f, true)
+func setStoreDownLater(f *confignet.Fleet) {
+	go setStoreDown(f, true)
 	time.Sleep(time.Nanosecond)
 }
 
-// The store fails right after the commit and the pushes to some hosts are lost
-// as well. Those hosts hear nothing from the store, ask their peers, and have
-// the change within the bound; all hosts go on serving.
+// The store fails right after the commit, and the pushes to some hosts are lost. Those
+// hosts query their peers and have the change within the bound. All hosts stay ready.
 func TestChangeSpreadsWithoutTheStore(t *testing.T) {
 	onFleet(t, 15, func(t *testing.T, f *confignet.Fleet) {
 		h := f.Hosts()
@@ -168,29 +168,29 @@
 			f.Net.Cut(h[0].ID, to.ID)
 		}
 		change(t, h[0], "c1", 0, 7, config.ResultApplied)
-		setFaults(f, true)
-		pass(bound)
+		setStoreDown(f, true)
+		advanceTime(propagationBound)
 		assertSequences(t, f, 1)
-		pass(time.Minute)
+		advanceTime(time.Minute)
 		assertReady(t, true, h...)
 	})
 }
 
-// The committing host dies right after the commit, before any push arrives.
-// The others read the head row within a poll.
+// The committing host fails right after the commit, before any push arrives. The others
+// learn of the change from the head row at their next poll.
 func TestChangeOfADeadHostIsPolled(t *testing.T) {
 	onFleet(t, 15, func(t *testing.T, f *confignet.Fleet) {
 		h := f.Hosts()
 		f.CutPeers(h[0])
 		change(t, h[0], "c1", 0, 7, config.ResultApplied)
 		f.Stop(h[0])
-		pass(bound)
+		advanceTime(propagationBound)
 		assertSequences(t, f, 1)
 	})
 }
 
-// A pushed change arrives before the one it follows. Applied as it is, it would
-// hide that another workspace's change is missing; the host fetches both.
+// A pushed change arrives before the one that it follows. If it were applied, the missing
+// change of another workspace would go unnoticed. The host fetches both instead.
 func TestGapIsFilledFromThePeer(t *testing.T) {
 	onFleet(t, 2, func(t *testing.T, f *confignet.Fleet) {
 		h := f.Hosts()
@@ -198,85 +198,84 @@
 		f.CutPeers(h[1])
 		change(t, h[0], "c1", 0, 7, config.ResultApplied)
 		second := change(t, h[0], "c2", 1, 8, config.ResultApplied)
-		pass(10 * time.Millisecond) // the pushes are lost
+		advanceTime(10 * time.Millisecond) // the pushes are lost
 		f.Net.Heal()
 		h[0].Controller.PushTo(h[1].ID, *second.Change)
-		pass(10 * time.Millisecond)
+		advanceTime(10 * time.Millisecond)
 		assertSequences(t, f, 2)
 		assert.Equal(t, h[1].Metrics.Map("config_refused").Get("sequence_gap").String(), "1")
 	})
 }
 
-// A host starts while the store is out. It takes the newest configuration that
-// a confirmed peer holds and serves; one that reaches nobody never does.
+// A host that starts while the store is down takes the newest configuration of a
+// confirmed peer and becomes ready. One that reaches no other host never does.
 func TestFreshHostInAnOutage(t *testing.T) {
 	onFleet(t, 3, func(t *testing.T, f *confignet.Fleet) {
 		change(t, f.Hosts()[0], "c1", 0, 7, config.ResultApplied)
-		pass(time.Second)
-		setFaults(f, true)
-		fresh := f.Start()
-		pass(time.Second)
-		assert.Equal(t, fresh.Sequence(), uint64(1))
-		assertReady(t, true, fresh)
-		lost := f.Start()
-		f.CutPeers(lost)
-		pass(time.Minute)
-		assertReady(t, false, lost)
+		advanceTime(time.Second)
+		setStoreDown(f, true)
+		newHost := f.Start()
+		advanceTime(time.Second)
+		assert.Equal(t, newHost.Sequence(), uint64(1))
+		assertReady(t, true, newHost)
+		isolated := f.Start()
+		f.CutPeers(isolated)
+		advanceTime(time.Minute)
+		assertReady(t, false, isolated)
 	})
 }
 
-// All hosts are replaced at once while the store is out. None holds anything,
-// so none may confirm another; they serve only once the store is back.
-func TestFleetWithoutMemoryWaitsForTheStore(t *testing.T) {
+// All hosts are replaced at once while the store is down. None has a configuration, so
+// none may confirm another; they become ready only once the store is back.
+func TestReplacedFleetWaitsForTheStore(t *testing.T) {
 	onFleet(t, 3, func(t *testing.T, f *confignet.Fleet) {
 		change(t, f.Hosts()[0], "c1", 0, 7, config.ResultApplied)
-		setFaults(f, true)
+		setStoreDown(f, true)
 		for _, h := range f.Hosts() {
 			f.Stop(h)
 		}
-		fresh := []*confignet.Host{f.Start(), f.Start(), f.Start()}
-		pass(time.Minute)
-		assertReady(t, false, fresh...)
-		setFaults(f, false)
-		pass(bound)
-		assertReady(t, true, fresh...)
+		newHosts := []*confignet.Host{f.Start(), f.Start(), f.Start()}
+		advanceTime(time.Minute)
+		assertReady(t, false, newHosts...)
+		setStoreDown(f, false)
+		advanceTime(propagationBound)
+		assertReady(t, true, newHosts...)
 		assertSequences(t, f, 1)
 	})
 }
 
-// A host reaches no peer, and its reads of the table hang as on a network that
-// drops packets. Whenever the table answers again, the host has the change
-// within the time of one poll: a read that still hangs does not hold up the
-// next.
+// A host reaches no peer, and its reads of the table hang, as on a network that drops
+// packets. Once the table answers again, the host has the change within about one poll
+// interval: a read that still hangs doesn't delay the next.
 func TestHangingReadDoesNotHideTheEndOfAnOutage(t *testing.T) {
 	for phase := range 8 {
 		onFleet(t, 2, func(t *testing.T, f *confignet.Fleet) {
 			h := f.Hosts()[1]
 			f.Isolate(h)
 			change(t, f.Hosts()[0], "c1", 0, 7, config.ResultApplied)
-			pass(10*time.Second + time.Duration(phase)*500*time.Millisecond)
+			advanceTime(10*time.Second + time.Duration(phase)*500*time.Millisecond)
 			assert.Equal(t, h.Sequence(), uint64(0))
 			h.RestorePlatform()
-			pass(1200 * time.Millisecond)
+			advanceTime(1200 * time.Millisecond)
 			assertSequences(t, f, 1)
 			assertReady(t, true, h)
 		})
 	}
 }
 
-// After many changes a start reads the snapshot instead of the log. A snapshot
-// with one byte altered is refused, and the workspace rows are read instead.
+// After many changes a starting host reads the snapshot instead of the log. A snapshot
+// with one altered byte is rejected and the workspace rows are read instead.
 func TestStartFromSnapshotOrTable(t *testing.T) {
 	onFleet(t, 1, func(t *testing.T, f *confignet.Fleet) {
 		h := f.Hosts()[0]
 		for i := range uint64(60) {
 			change(t, h, fmt.Sprint("c", i), i, int(i)+1, config.ResultApplied)
 		}
-		pass(10 * time.Second)
+		advanceTime(10 * time.Second)
 		start := func() *confignet.Host {
 			n := f.Start()
 			f.CutPeers(n)
-			pass(100 * time.Millisecond)
+			advanceTime(100 * time.Millisecond)
 			assert.Equal(t, n.Sequence(), uint64(60))
 			return n
 		}
@@ -289,52 +288,52 @@
 		n := start()
 		assert.Equal(t, n.Metrics.Map("config_refused").Get("damaged_snapshot").String(), "1")
 		assert.DeepEqual(t, n.Board.Config.Load(), h.Board.Config.Load())
-		pass(10 * time.Second)
-		assert.Equal(t, start().Reads(), uint64(2), "the snapshot was written anew")
+		advanceTime(10 * time.Second)
+		assert.Equal(t, start().Reads(), uint64(2), "the snapshot was rewritten")
 	})
 }
 
-// A start finds a damaged snapshot, reads the workspace rows and asks for a new
-// snapshot. The writer runs before these rows are in force on this host: it must not
-// write the empty configuration of the moment, which every later start would read in
-// vain, and nobody would replace before the next change.
+// A starting host finds a damaged snapshot, reads the workspace rows and requests a new
+// snapshot. If the writer ran before these rows are active, it would store the empty
+// configuration, which is of no use to hosts that start later and would stay until the
+// next change.
 func TestSnapshotIsOfWhatWasRead(t *testing.T) {
 	onFleet(t, 1, func(t *testing.T, f *confignet.Fleet) {
 		h := f.Hosts()[0]
 		for i := range uint64(40) {
 			change(t, h, fmt.Sprint("c", i), i, int(i)+1, config.ResultApplied)
 		}
-		pass(10 * time.Second)
+		advanceTime(10 * time.Second)
 		ctx := context.Background()
 		assert.NilError(t, f.Store.Objects().Put(ctx, config.SnapshotName, []byte("damaged")))
 		f.Configure = func(c *config.Controller) {
 			c.BeforeInstall(func() { time.Sleep(100 * time.Millisecond) })
 		}
 		f.CutPeers(f.Start())
-		pass(10 * time.Second)
+		advanceTime(10 * time.Second)
 		f.Configure = nil
 		n := f.Start()
 		f.CutPeers(n)
-		pass(100 * time.Millisecond)
+		advanceTime(100 * time.Millisecond)
 		assert.Equal(t, n.Sequence(), uint64(40))
 		assert.Equal(t, n.Reads(), uint64(2), "head row and snapshot")
 	})
 }
 
-// The platform restores its table from an old backup. Hosts keep what is in
-// force, and a change that would use a sequence number twice is refused.
+// The platform restores its table from an old backup. Hosts keep their configuration, and
+// a change that would reuse a sequence number is rejected.
 func TestTableThatLostChangesIsNotFollowed(t *testing.T) {
 	onFleet(t, 2, func(t *testing.T, f *confignet.Fleet) {
 		h := f.Hosts()
 		change(t, h[0], "c1", 0, 7, config.ResultApplied)
-		pass(time.Second)
+		advanceTime(time.Second)
 		rows, err := f.Store.Get(context.Background(), "config/head")
 		assert.NilError(t, err)
 		_, err = f.Store.Commit(context.Background(), ports.Op{Kind: ports.OpDelete, Key: rows[0].Key})
 		assert.NilError(t, err)
 		out := change(t, h[1], "c2", 0, 8, config.ResultUnavailable)
 		assert.Check(t, strings.Contains(out.Detail, "behind"), out.Detail)
-		pass(time.Minute)
+		advanceTime(time.Minute)
 		assertSequences(t, f, 1)
 	})
 }
--- a/controller/config/confirm.go
+++ b/controller/config/confirm.go
@@ -11,44 +11,44 @@
 	"github.com/cactusproxy/cactusproxy/policy/instant"
 )
 
-// Counters of the ways in which a configuration was confirmed.
+// Counters by the source of a confirmation.
 const (
-	confirmedByStore = "confirmed_store"
-	confirmedByPeer  = "confirmed_peer"
-	confirmedByMost  = "confirmed_majority"
+	confirmedByStore    = "confirmed_store"
+	confirmedByPeer     = "confirmed_peer"
+	confirmedByMajority = "confirmed_majority"
 )
 
-// Fresh reports whether the configuration was confirmed within Timings.Lapse.
-// It is exact at the moment of the call, also in the first instant after a
-// pause, while Status.ConfigConfirmed follows within Timings.Tick.
+// Fresh reports whether the configuration was confirmed within Timings.ConfirmationTTL.
+// It is exact at the moment of the call, even directly after a pause, whereas
+// Status.ConfigConfirmed may lag by up to Timings.ClockInterval.
 func (c *Controller) Fresh() bool {
-	_, fresh := c.evidenceAge()
+	_, fresh := c.confirmationAge()
 	return fresh
 }
 
-// evidenceAge returns how old the confirmation is, and whether it holds.
-func (c *Controller) evidenceAge() (age time.Duration, fresh bool) {
-	at := c.evidence.Load()
+// confirmationAge returns the age of the confirmation, and whether it is still valid.
+func (c *Controller) confirmationAge() (age time.Duration, fresh bool) {
+	at := c.confirmedAt.Load()
 	if at == nil {
 		return 0, false
 	}
 	age = instant.Elapsed(*at, c.Now())
-	return age, age < c.Timings.Lapse
+	return age, age < c.Timings.ConfirmationTTL
 }
 
-// confirm records that the configuration was the newest when it was asked for, less
-// the age of the evidence. The instant of asking counts, not that of the answer: a host
-// may be paused between the two, and the answer would look new though it is old.
-func (c *Controller) confirm(asked time.Time, e evidence) {
-	if woke := c.wokeAt.Load(); woke != nil && asked.Before(*woke) {
+// confirm records that the configuration was the newest at askedAt less the age of the
+// confirmation. The time of the request counts, not that of the reply: if the host is
+// paused between the two, an old reply would look new.
+func (c *Controller) confirm(askedAt time.Time, e confirmation) {
+	if resumed := c.resumedAt.Load(); resumed != nil && askedAt.Before(*resumed) {
 		return
 	}
-	advance(&c.evidence, asked.Add(-e.age))
-	c.events.Add(e.how, 1)
+	advance(&c.confirmedAt, askedAt.Add(-e.age))
+	c.events.Add(e.source, 1)
 	c.updateStatus()
 }
 
-// advance stores an instant unless a later one is there.
+// advance stores a time unless a later one is stored already.
 func advance(p *atomic.Pointer[time.Time], at time.Time) {
 	for {
 		old := p.Load()
@@ -75,11 +75,11 @@
 	}
 }
 
-// watchClock looks at the host's clock every tick: it withdraws a confirmation
-// that has lapsed, notices that the host was paused, and asks peers while the
-// store gives no answer.
+// watchClock checks the host's clock every ClockInterval. It withdraws a confirmation
+// that has expired, detects that the host was paused, and queries peers while the store
+// doesn't answer.
 func (c *Controller) watchClock(ctx context.Context) error {
-	ticker := time.NewTicker(c.Timings.Tick)
+	ticker := time.NewTicker(c.Timings.ClockInterval)
 	defer ticker.Stop()
 	last := c.Now()
 	round := newPeerRound()
@@ -92,8 +92,8 @@
 		case <-ticker.C:
 		}
 		now := c.Now()
-		if instant.Elapsed(last, now) > c.Timings.Pause {
-			c.noticePause(now, instant.Elapsed(last, now))
+		if instant.Elapsed(last, now) > c.Timings.PauseThreshold {
+			c.handlePause(now, instant.Elapsed(last, now))
 		}
 		last = now
 		c.updateStatus()
@@ -103,22 +103,23 @@
 	}
 }
 
-// noticePause withdraws the confirmation of a host that was paused: whatever it
-// knew, or asked before, may be old by now.
-func (c *Controller) noticePause(now time.Time, gap time.Duration) {
+// handlePause withdraws the confirmation of a host that was paused: replies received, or
+// requested, before the pause may be out of date.
+func (c *Controller) handlePause(now time.Time, gap time.Duration) {
 	c.events.Add("pauses", 1)
 	c.Log.Warn("host was paused", zap.Duration("gap", gap))
-	c.wokeAt.Store(&now)
-	c.evidence.Store(nil)
-	c.wake()
+	c.resumedAt.Store(&now)
+	c.confirmedAt.Store(nil)
+	c.triggerPoll()
 }
 
-// needsPeers reports whether peers have to be asked: the store refuses or has
-// been silent for long, or is left to other hosts to poll.
+// needsPeers reports whether to query peers: if the store fails or has not answered for
+// PeerFallbackDelay, if the configuration isn't confirmed, or if this host doesn't poll
+// the store.
 func (c *Controller) needsPeers(now time.Time) bool {
 	if !c.isPoller() || !c.Fresh() || c.storeFailed.Load() {
 		return true
 	}
-	seen := c.storeSeen.Load()
-	return seen == nil || instant.Elapsed(*seen, now) > c.Timings.StoreQuiet
+	seen := c.storeReadAt.Load()
+	return seen == nil || instant.Elapsed(*seen, now) > c.Timings.PeerFallbackDelay
 }
--- a/controller/config/export_test.go
+++ b/controller/config/export_test.go
@@ -6,27 +6,27 @@
 	"github.com/cactusproxy/cactusproxy/peer"
 )
 
-// ApplyWithoutComparing breaks the rule that only higher sequences are applied.
-func (c *Controller) ApplyWithoutComparing() {
-	c.admit = func(_, _ uint64) bool { return true }
+// SkipSequenceCheck makes the host apply changes without comparing sequence numbers.
+func (c *Controller) SkipSequenceCheck() {
+	c.accepts = func(_, _ uint64) bool { return true }
 }
 
-// BeforeInstall has f called right before a configuration is put in force.
+// BeforeInstall makes the host call f before it applies a configuration.
 func (c *Controller) BeforeInstall(f func()) {
-	c.admit = func(present, next uint64) bool {
+	c.accepts = func(present, next uint64) bool {
 		f()
 		return isNewer(present, next)
 	}
 }
 
-// PushTo sends a change to one host, out of the usual order.
+// PushTo sends a change to one host, bypassing the tree.
 func (c *Controller) PushTo(to peer.HostID, ch Change) {
 	peer.Notify(c.Link, to, kindPush, pushMsg{Change: ch})
 }
 
-// AnswerWithoutAge makes the host answer as one of a release that does not tell the age
-// of its evidence.
-func (c *Controller) AnswerWithoutAge() {
+// ReplyWithoutAge makes the host reply like a release that doesn't report the age of its
+// confirmation.
+func (c *Controller) ReplyWithoutAge() {
 	type oldReply struct {
 		Sequence  uint64 `msgpack:"sequence"`
 		Confirmed bool   `msgpack:"confirmed"`
--- a/controller/config/install.go
+++ b/controller/config/install.go
@@ -13,69 +13,70 @@
 // maxRecent bounds the changes kept in memory for peers that lack them.
 const maxRecent = 64
 
-// Counters of config_events and config_refused.
+// Keys of the metrics maps config_events and config_refused.
 const (
-	eventPush     = "applied_push"
-	eventStore    = "applied_store"
-	eventPeer     = "applied_peer"
-	eventCommit   = "applied_commit"
-	refusedStale  = "stale_sequence"
-	refusedGap    = "sequence_gap"
-	refusedDamage = "damaged_snapshot"
+	eventPush      = "applied_push"
+	eventStore     = "applied_store"
+	eventPeer      = "applied_peer"
+	eventCommit    = "applied_commit"
+	refusedStale   = "stale_sequence"
+	refusedGap     = "sequence_gap"
+	refusedDamaged = "damaged_snapshot"
 )
 
-// Sequence returns the sequence number in force on this host.
+// Sequence returns the sequence number of the host's active configuration.
 func (c *Controller) Sequence() uint64 { return c.Board.Config.Load().Sequence }
 
 func isNewer(present, next uint64) bool { return next > present }
 
-// applied tells what became of a change or configuration offered to the host.
-type applied uint8
+// applyStatus is the result of applying a change or a whole configuration.
+type applyStatus uint8
 
 const (
-	appliedNow applied = iota + 1
-	appliedStale
-	appliedGap
+	applyDone applyStatus = iota + 1
+	applyStale
+	applyGap
 )
 
-// applyChange puts a change in force if it is the next one.
-func (c *Controller) applyChange(ch Change, event string) applied {
+// applyChange applies a change if its sequence number is the next one.
+func (c *Controller) applyChange(ch Change, event string) applyStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cur := c.Board.Config.Load()
-	if !c.admit(cur.Sequence, ch.Sequence) {
+	if !c.accepts(cur.Sequence, ch.Sequence) {
 		c.refused.Add(refusedStale, 1)
-		return appliedStale
+		return applyStale
 	}
 	if ch.Sequence > cur.Sequence+1 {
-		// Changes are deltas: applying this one over the gap would leave out
-		// another workspace's change while the sequence says it is there.
+		// A change holds one workspace only. Applying it across a gap would leave out the
+		// changes of other workspaces while the sequence number says that they are
+		// included.
 		c.refused.Add(refusedGap, 1)
-		return appliedGap
+		return applyGap
 	}
-	c.store(withWorkspace(cur, ch), event)
-	c.recent = append(c.recent, ch.delta())
-	if len(c.recent) > maxRecent {
-		c.recent = slices.Clone(c.recent[len(c.recent)-maxRecent:])
+	c.publish(withWorkspace(cur, ch), event)
+	c.recentChanges = append(c.recentChanges, ch.withoutSource())
+	if len(c.recentChanges) > maxRecent {
+		c.recentChanges = slices.Clone(c.recentChanges[len(c.recentChanges)-maxRecent:])
 	}
-	return appliedNow
+	return applyDone
 }
 
-// installConfig puts a whole configuration in force if it is newer.
-func (c *Controller) installConfig(next *declare.Config, event string) applied {
+// installConfig replaces the whole configuration if the given one is newer.
+func (c *Controller) installConfig(next *declare.Config, event string) applyStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.admit(c.Sequence(), next.Sequence) {
+	if !c.accepts(c.Sequence(), next.Sequence) {
 		c.refused.Add(refusedStale, 1)
-		return appliedStale
+		return applyStale
 	}
-	c.store(next, event)
-	c.recent = nil
-	return appliedNow
+	c.publish(next, event)
+	c.recentChanges = nil
+	return applyDone
 }
 
-// store publishes a configuration; c.mu is held.
-func (c *Controller) store(next *declare.Config, event string) {
+// publish makes a configuration the active one. c.mu must be held.
+func (c *Controller) publish(next *declare.Config, event string) {
 	cur := c.Sequence()
 	invariant.Check(next.Sequence > cur, invariant.ConfigForward,
 		"host %s would go from sequence %d to %d", c.Link.Self(), cur, next.Sequence)
@@ -84,7 +85,8 @@
 	c.Log.Info("config applied", zap.Uint64("sequence", next.Sequence), zap.String("by", event))
 }
 
-// withWorkspace returns the configuration with one workspace replaced.
+// withWorkspace returns a copy of the configuration with the changed workspace replaced
+// or added.
 func withWorkspace(cur *declare.Config, ch Change) *declare.Config {
 	next := &declare.Config{Sequence: ch.Sequence, Workspaces: slices.Clone(cur.Workspaces)}
 	i, found := slices.BinarySearchFunc(next.Workspaces, ch.Workspace.Name, func(w declare.Workspace, name string) int {
@@ -98,17 +100,17 @@
 	return next
 }
 
-// changesAfter returns the changes that follow a sequence number, or false if
-// they are no longer all in memory.
+// changesAfter returns the changes that follow a sequence number, or false if some of
+// them are no longer in memory.
 func (c *Controller) changesAfter(sequence uint64) ([]Change, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if sequence >= c.Sequence() {
 		return nil, true
 	}
-	i := slices.IndexFunc(c.recent, func(ch Change) bool { return ch.Sequence == sequence+1 })
+	i := slices.IndexFunc(c.recentChanges, func(ch Change) bool { return ch.Sequence == sequence+1 })
 	if i < 0 {
 		return nil, false
 	}
-	return slices.Clone(c.recent[i:]), true
+	return slices.Clone(c.recentChanges[i:]), true
 }
--- a/controller/config/pause_test.go
+++ b/controller/config/pause_test.go
@@ -11,9 +11,8 @@
 	"github.com/cactusproxy/cactusproxy/internal/standin/store"
 )
 
-// A host is paused for a minute while a change is accepted. At the first
-// instant after the pause it is not fresh; it serves again only with the new
-// configuration.
+// A host is paused for a minute while a change is accepted. Directly after the pause it
+// is not fresh, and it becomes ready again only with the new configuration.
 func TestPausedHostConfirmsBeforeItServes(t *testing.T) {
 	onFleet(t, 3, func(t *testing.T, f *confignet.Fleet) {
 		h := f.Hosts()[2]
@@ -21,89 +20,89 @@
 		change(t, f.Hosts()[0], "c1", 0, 7, config.ResultApplied)
 		h.Jump(time.Minute)
 		assert.Check(t, !h.Controller.Fresh())
-		pass(300 * time.Millisecond)
+		advanceTime(300 * time.Millisecond)
 		assertReady(t, false, h)
 		f.Heal()
-		pass(bound)
+		advanceTime(propagationBound)
 		assertReady(t, true, h)
 		assertSequences(t, f, 1)
 	})
 }
 
-// A host is paused for less than a confirmation holds, with a read of the table
-// on its way. The answer comes after the pause but tells of the time before it,
-// so the host does not serve until it has asked again.
+// A host is paused for less than a confirmation is valid, with a read of the table in
+// flight. The reply arrives after the pause but reflects the state before it, so the host
+// must not become ready until it has read again.
 func TestAnswerFromBeforeThePauseDoesNotCount(t *testing.T) {
 	const answerTime = 500 * time.Millisecond
 	for phase := range 20 {
 		onFleet(t, 1, func(t *testing.T, f *confignet.Fleet) {
 			f.Store.SetFaults(store.Faults{Delay: answerTime})
-			pass(10*time.Second + time.Duration(phase)*50*time.Millisecond)
+			advanceTime(10*time.Second + time.Duration(phase)*50*time.Millisecond)
 			h := f.Hosts()[0]
 			assertReady(t, true, h)
-			h.Jump(config.DefaultTimings().Pause + 100*time.Millisecond)
-			pass(config.DefaultTimings().Tick)
-			woke := h.Metrics.Map("config_events").Get("pauses").String()
-			assert.Equal(t, woke, "1")
+			h.Jump(config.DefaultTimings().PauseThreshold + 100*time.Millisecond)
+			advanceTime(config.DefaultTimings().ClockInterval)
+			pauses := h.Metrics.Map("config_events").Get("pauses").String()
+			assert.Equal(t, pauses, "1")
 			assertReady(t, false, h)
-			pass(answerTime / 2)
+			advanceTime(answerTime / 2)
 			assertReady(t, false, h)
-			pass(answerTime)
+			advanceTime(answerTime)
 			assertReady(t, true, h)
 		})
 	}
 }
 
-// Every host is paused at once and the store is out when they wake. No host is
-// confirmed, but more than half of them together hold the newest change.
+// All hosts are paused at once, and the store is down when they resume. No host is
+// confirmed, but a majority of them together has the newest change.
 func TestFleetThatWasPausedTogetherConfirmsByMajority(t *testing.T) {
 	onFleet(t, 5, func(t *testing.T, f *confignet.Fleet) {
 		change(t, f.Hosts()[0], "c1", 0, 7, config.ResultApplied)
-		pass(time.Second)
-		setFaults(f, true)
+		advanceTime(time.Second)
+		setStoreDown(f, true)
 		for _, h := range f.Hosts() {
 			h.Jump(time.Minute)
 		}
 		f.CutPeers(f.Hosts()[4])
-		pass(bound)
+		advanceTime(propagationBound)
 		assertReady(t, true, f.Hosts()[:4]...)
 		assertReady(t, false, f.Hosts()[4])
 	})
 }
 
-// A host is cut off from everything. Its callers would be served by an ever
-// older view, so it is not ready once its confirmation lapses.
+// A host loses all connections. It would serve an increasingly outdated configuration, so
+// it must become unready once its confirmation expires.
 func TestCutOffHostLapses(t *testing.T) {
 	onFleet(t, 3, func(t *testing.T, f *confignet.Fleet) {
 		h := f.Hosts()[0]
 		f.Isolate(h)
-		pass(config.DefaultTimings().Lapse + config.DefaultTimings().Tick)
+		advanceTime(config.DefaultTimings().ConfirmationTTL + config.DefaultTimings().ClockInterval)
 		assertReady(t, false, h)
 		assertReady(t, true, f.Hosts()[1:]...)
 	})
 }
 
-// Two hosts of four or five are cut off from the store and from the others, but not from
-// each other. Each asks the other, which is confirmed by the first, and takes that for
-// news of this moment: callers of both are served by the configuration of the day of the
-// cut, without an end. What one passes on is no younger than what it heard.
+// Two hosts out of four or five lose the store and the other hosts, but still reach each
+// other. If each counted the other's confirmation as new, they would confirm each other
+// and serve an outdated configuration indefinitely. A confirmation passed on is no
+// younger than the one received.
 func TestTwoHostsThatAreCutOffTogetherLapse(t *testing.T) {
 	for _, hosts := range []int{4, 5} {
 		onFleet(t, hosts, func(t *testing.T, f *confignet.Fleet) {
 			cut, others := f.Hosts()[:2], f.Hosts()[2:]
-			cutOffTogether(f, cut, others)
-			pass(config.DefaultTimings().Lapse + config.DefaultTimings().Tick)
+			isolateGroup(f, cut, others)
+			advanceTime(config.DefaultTimings().ConfirmationTTL + config.DefaultTimings().ClockInterval)
 			assertReady(t, false, cut...)
 			change(t, others[0], "c1", 0, 7, config.ResultApplied)
-			pass(10 * config.DefaultTimings().Lapse)
+			advanceTime(10 * config.DefaultTimings().ConfirmationTTL)
 			assertReady(t, false, cut...)
 			assertReady(t, true, others...)
 		})
 	}
 }
 
-// cutOffTogether cuts hosts off from the store and from others, not from one another.
-func cutOffTogether(f *confignet.Fleet, cut, others []*confignet.Host) {
+// isolateGroup cuts hosts off from the store and from others, but not from one another.
+func isolateGroup(f *confignet.Fleet, cut, others []*confignet.Host) {
 	for _, h := range cut {
 		h.CutPlatform()
 		for _, o := range others {
@@ -113,61 +112,63 @@
 	}
 }
 
-// In a rolling update a new host is cut off with an old one, which says that it is
-// confirmed but not how old its evidence is. A field that is missing reads as zero: taken
-// for the age, it would make the old host's word news of this moment.
-func TestWordWithoutAnAgeIsNotNews(t *testing.T) {
+// During a rolling update a new host is cut off together with one of an older release,
+// which reports that it is confirmed but not since when. The missing field decodes as
+// zero. If that counted as the age, the old host's reply would confirm the new host as of
+// now.
+func TestReplyWithoutAgeDoesNotConfirm(t *testing.T) {
 	onFleet(t, 5, func(t *testing.T, f *confignet.Fleet) {
 		old, fresh, others := f.Hosts()[0], f.Hosts()[1], f.Hosts()[2:]
-		old.Controller.AnswerWithoutAge()
-		cutOffTogether(f, []*confignet.Host{old, fresh}, others)
-		pass(config.DefaultTimings().Lapse + config.DefaultTimings().Tick)
+		old.Controller.ReplyWithoutAge()
+		isolateGroup(f, []*confignet.Host{old, fresh}, others)
+		advanceTime(config.DefaultTimings().ConfirmationTTL + config.DefaultTimings().ClockInterval)
 		assertReady(t, false, fresh)
 	})
 }
 
-// All but a few hosts are old ones, and a large fleet leaves the store to some of its
-// hosts: the others have evidence only from peers that tell no age. More than half of all
-// hosts confirm them; no host is unready for a moment, with the store or without.
-func TestHostAmongOldOnesStaysReady(t *testing.T) {
+// Most hosts run an older release that doesn't report the age of its confirmation. In a
+// large fleet only some hosts poll the store; the others can be confirmed only by peers,
+// here by a majority of all hosts. No host may become unready at any time, with the store
+// or without.
+func TestHostAmongOlderReleasesStaysReady(t *testing.T) {
 	onFleet(t, 60, func(t *testing.T, f *confignet.Fleet) {
 		for _, h := range f.Hosts()[:50] {
-			h.Controller.AnswerWithoutAge()
+			h.Controller.ReplyWithoutAge()
 		}
 		assertStaysReady(t, 10*time.Second, f.Hosts())
-		setFaults(f, true)
+		setStoreDown(f, true)
 		assertStaysReady(t, 30*time.Second, f.Hosts())
 	})
 }
 
-// The store is out and just less than half of the hosts are lost: they are still listed,
-// and questions to them end only by the time limit. Those that are left are more than
-// half, and none is unready for a moment.
+// The store is down and just less than half of the hosts have failed. They are still
+// listed, so queries to them run into the timeout. The remaining hosts are a majority,
+// and none may become unready at any time.
 func TestMajorityStaysReadyWithoutTheStore(t *testing.T) {
 	for _, hosts := range []int{3, 5, 33, 75} {
 		for _, hang := range []bool{false, true} {
 			onFleet(t, hosts, func(t *testing.T, f *confignet.Fleet) {
 				change(t, f.Hosts()[0], "c1", 0, 7, config.ResultApplied)
-				pass(5 * time.Second)
+				advanceTime(5 * time.Second)
 				lost, left := f.Hosts()[:(hosts-1)/2], f.Hosts()[(hosts-1)/2:]
-				cutOffTogether(f, lost, left)
+				isolateGroup(f, lost, left)
 				if hang {
 					for _, h := range left {
 						h.CutPlatform()
 					}
 				}
-				setFaults(f, true)
+				setStoreDown(f, true)
 				assertStaysReady(t, 12*time.Second, left)
 			})
 		}
 	}
 }
 
-// assertStaysReady looks at the hosts all the time for a while.
+// assertStaysReady checks continuously for a duration that the hosts are ready.
 func assertStaysReady(t *testing.T, d time.Duration, hosts []*confignet.Host) {
 	t.Helper()
 	const step = 25 * time.Millisecond
-	for end := time.Now().Add(d); time.Now().Before(end); pass(step) {
+	for end := time.Now().Add(d); time.Now().Before(end); advanceTime(step) {
 		for _, h := range hosts {
 			assert.Assert(t, h.Ready() && h.Controller.Fresh(), "host %s of %d", h.ID, len(hosts))
 		}
--- a/controller/config/peers.go
+++ b/controller/config/peers.go
@@ -14,19 +14,19 @@
 	"github.com/cactusproxy/cactusproxy/peer"
 )
 
-// Kinds of messages.
+// Kinds of messages between hosts.
 const (
-	// kindPush carries a change along a tree of hosts.
+	// kindPush sends a change down the tree of hosts.
 	kindPush = peer.KindConfig + iota
-	// kindAnnounce says what sequence the sender has in force.
+	// kindAnnounce tells the sender's sequence number.
 	kindAnnounce
-	// kindHead asks what sequence a host has in force.
+	// kindHead asks for the receiver's sequence number.
 	kindHead
-	// kindFetch asks for what follows a sequence.
+	// kindFetch asks for the changes that follow a sequence number.
 	kindFetch
 )
 
-// pushMsg is a change with the hosts that the receiver has to pass it on to.
+// pushMsg is a change and the hosts to which the receiver has to forward it.
 type pushMsg struct {
 	Change Change        `msgpack:"change"`
 	Rest   []peer.HostID `msgpack:"rest"`
@@ -36,25 +36,26 @@
 	Sequence uint64 `msgpack:"sequence"`
 }
 
-// headRequest carries the sequence that the sender has in force, so that the
-// receiver learns of it too if it is behind.
+// headRequest carries the sender's sequence number, so that a receiver that is behind
+// learns of it.
 type headRequest struct {
 	Sequence uint64 `msgpack:"sequence"`
 }
 
 type headReply struct {
 	Sequence uint64 `msgpack:"sequence"`
-	// Confirmed is set if the sender's own confirmation holds at this moment.
+	// Confirmed is set if the sender's own confirmation is valid.
 	Confirmed bool `msgpack:"confirmed"`
-	// Age is how old the sender's evidence is, nil by a host of a release that does
-	// not tell it. Such a host may have its evidence from another of its kind, and
-	// that from it: its word counts only among those of more than half of all hosts.
+	// Age is the age of the sender's confirmation. It is nil from hosts of older
+	// releases, which don't report it. Such a host may have been confirmed by another of
+	// the same release, and that one by the first, so its reply counts only towards a
+	// majority of all hosts.
 	Age *time.Duration `msgpack:"age"`
 }
 
-// evidenceAge returns the age of the sender's evidence, or false if it has none or
-// does not tell.
-func (r headReply) evidenceAge() (time.Duration, bool) {
+// confirmationAge returns the age of the sender's confirmation, or false if it has none
+// or doesn't report its age.
+func (r headReply) confirmationAge() (time.Duration, bool) {
 	if !r.Confirmed || r.Age == nil || *r.Age < 0 {
 		return 0, false
 	}
@@ -66,22 +67,22 @@
 }
 
 // fetchReply holds the changes asked for or, if the sender no longer has them
-// one by one, its whole configuration.
+// individually, its whole configuration.
 type fetchReply struct {
 	Changes []Change        `msgpack:"changes"`
 	Full    *declare.Config `msgpack:"full"`
 }
 
 const (
-	// smallFleet is the number of hosts up to which each may speak to all.
+	// smallFleet is the number of hosts up to which each may send to all others.
 	smallFleet = 32
-	// maxAsked is the number of hosts that a host asks at a time. If many hosts are lost,
-	// each further group waits a PeerTimeout for them, and the evidence lapses meanwhile:
-	// fleets of this platform fit into one group.
-	maxAsked = 256
-	// peerSample is the number of hosts asked first in one round of a large fleet by
-	// a host that is confirmed.
-	peerSample = 8
+	// maxParallelQueries bounds the hosts queried at the same time. If many hosts are
+	// down, each further batch waits a PeerTimeout for them while the confirmation ages;
+	// the bound is high enough for the supported fleet sizes to fit into one batch.
+	maxParallelQueries = 256
+	// peerSampleSize is the number of hosts that a confirmed host in a large fleet
+	// queries first.
+	peerSampleSize = 8
 )
 
 func (c *Controller) registerHandlers() {
@@ -95,20 +96,20 @@
 
 func (c *Controller) onPush(_ context.Context, from peer.HostID, m pushMsg) (empty, error) {
 	c.forward(m.Change, m.Rest)
-	if c.applyChange(m.Change, eventPush) == appliedGap {
-		c.hint(from, m.Change.Sequence)
+	if c.applyChange(m.Change, eventPush) == applyGap {
+		c.addHint(from, m.Change.Sequence)
 	}
 	return empty{}, nil
 }
 
 func (c *Controller) onAnnounce(_ context.Context, from peer.HostID, m announceMsg) (empty, error) {
-	c.hint(from, m.Sequence)
+	c.addHint(from, m.Sequence)
 	return empty{}, nil
 }
 
 func (c *Controller) onHead(_ context.Context, from peer.HostID, req headRequest) (headReply, error) {
-	c.hint(from, req.Sequence)
-	age, fresh := c.evidenceAge()
+	c.addHint(from, req.Sequence)
+	age, fresh := c.confirmationAge()
 	return headReply{Sequence: c.Sequence(), Confirmed: fresh, Age: &age}, nil
 }
 
@@ -121,13 +122,12 @@
 
 // push sends a change to all other hosts along a tree.
 func (c *Controller) push(ch Change) {
-	c.forward(ch.delta(), c.peers())
+	c.forward(ch.withoutSource(), c.peers())
 }
 
-// forward splits the hosts into at most Fanout groups and sends the change to
-// the first host of each, which passes it on to the rest of its group. A host
-// that is down loses its group the push; those hosts hear of the change within
-// a poll.
+// forward splits the hosts into at most Fanout groups and sends the change to the first
+// host of each, which forwards it to the rest of its group. If that host is down, its
+// group misses the push and learns of the change with the next poll.
 func (c *Controller) forward(ch Change, hosts []peer.HostID) {
 	if len(hosts) == 0 {
 		return
@@ -136,7 +136,7 @@
 	size := (len(hosts) + groups - 1) / groups
 	for group := range slices.Chunk(hosts, size) {
 		for len(group) > 0 && !c.sendPush(ch, group) {
-			// Nothing was sent to this host: the next takes its place.
+			// Nothing could be sent to this host; try the next one in its place.
 			group = group[1:]
 		}
 	}
@@ -146,9 +146,9 @@
 	return peer.Notify(c.Link, group[0], kindPush, pushMsg{Change: ch, Rest: group[1:]})
 }
 
-// announce tells other hosts the sequence that this host learned otherwise than
-// by a push: whoever committed it may have died before its push, or not reach
-// them.
+// announce tells other hosts this host's sequence number if it was learned other than by
+// a push: the host that committed the change may have failed before its push, or can't
+// reach them.
 func (c *Controller) announce() {
 	hosts := c.peers()
 	if len(hosts) > smallFleet {
@@ -159,15 +159,15 @@
 	}
 }
 
-// hint is a host that was heard to have a sequence in force.
+// hint is a peer that reported a sequence number.
 type hint struct {
 	from     peer.HostID
 	sequence uint64
 }
 
-// hint has the host fetch what a peer is ahead. With the queue full the hint is
-// dropped: the next poll or round finds the same.
-func (c *Controller) hint(from peer.HostID, sequence uint64) {
+// addHint queues a fetch from a peer that is ahead. If the queue is full, the hint is
+// dropped: the next poll or round of queries finds the same change.
+func (c *Controller) addHint(from peer.HostID, sequence uint64) {
 	if sequence <= c.Sequence() {
 		return
 	}
@@ -178,18 +178,18 @@
 	}
 }
 
-func (c *Controller) followHints(ctx context.Context) error {
+func (c *Controller) processHints(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case h := <-c.hints:
-			c.followHint(ctx, h)
+			c.processHint(ctx, h)
 		}
 	}
 }
 
-func (c *Controller) followHint(ctx context.Context, h hint) {
+func (c *Controller) processHint(ctx context.Context, h hint) {
 	before := c.Sequence()
 	if h.sequence <= before {
 		return
@@ -199,9 +199,9 @@
 	}
 }
 
-// noticeMembers fetches from the host whose heartbeat tells the highest
-// sequence.
-func (c *Controller) noticeMembers(m *blackboard.Members) {
+// onMembers queues a fetch from the host whose heartbeat reports the highest sequence
+// number.
+func (c *Controller) onMembers(m *blackboard.Members) {
 	var best hint
 	for _, mem := range m.Members {
 		if mem.ConfigSequence > best.sequence {
@@ -209,11 +209,11 @@
 		}
 	}
 	if best.from != c.Link.Self() {
-		c.hint(best.from, best.sequence)
+		c.addHint(best.from, best.sequence)
 	}
 }
 
-// fetch applies what a peer is ahead.
+// fetch gets the changes that a peer is ahead and applies them.
 func (c *Controller) fetch(ctx context.Context, from peer.HostID) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Timings.PeerTimeout)
 	defer cancel()
@@ -231,7 +231,7 @@
 	return nil
 }
 
-// peers returns the other hosts, those believed live first.
+// peers returns the other hosts, live ones first.
 func (c *Controller) peers() []peer.HostID {
 	members := slices.Clone(c.Board.Members.Load().Members)
 	slices.SortStableFunc(members, func(a, b blackboard.Member) int { return cmp.Compare(a.State, b.State) })
@@ -244,12 +244,12 @@
 	return out
 }
 
-// isPoller reports whether this host polls the store itself. In a large fleet
-// the hosts with the lowest hashes do; lists that disagree only make a few
-// more or fewer poll.
+// isPoller reports whether this host polls the store itself. In a large fleet the live
+// hosts with the lowest hashes do. If hosts disagree about the members, slightly more or
+// fewer hosts poll.
 func (c *Controller) isPoller() bool {
 	members := c.Board.Members.Load().Members
-	if len(members) <= c.Timings.Pollers {
+	if len(members) <= c.Timings.MaxPollers {
 		return true
 	}
 	own := xxhash.Sum64String(string(c.Link.Self()))
@@ -259,10 +259,10 @@
 			lower++
 		}
 	}
-	return lower < c.Timings.Pollers
+	return lower < c.Timings.MaxPollers
 }
 
-// peerRound runs one round of questions to peers at a time.
+// peerRound runs rounds of queries to peers, one at a time.
 type peerRound struct {
 	group errgroup.Group
 	next  time.Time
@@ -276,16 +276,16 @@
 
 func (r *peerRound) wait() { _ = r.group.Wait() }
 
-// start begins a round unless one is under way or the last was a moment ago.
+// start begins a round unless one is running or the last began too recently.
 func (r *peerRound) start(ctx context.Context, c *Controller) {
 	now := c.Now()
 	if now.Before(r.next) {
 		return
 	}
-	if !r.group.TryGo(func() error { c.askPeers(ctx); return nil }) {
+	if !r.group.TryGo(func() error { c.queryPeers(ctx); return nil }) {
 		return
 	}
-	gap := c.jitter(c.Timings.Poll)
+	gap := c.jitter(c.Timings.PollInterval)
 	if !c.Fresh() {
 		gap /= 2
 	}
--- a/controller/config/propose.go
+++ b/controller/config/propose.go
@@ -9,53 +9,52 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// File is a declaration with the name that its problems are reported under.
+// File is the text of a declaration and the file name for its problem reports.
 type File struct {
 	Name string `json:"name"`
 	Text string `json:"text"`
 }
 
-// ApplyRequest asks for a workspace to become as declared.
+// ApplyRequest asks to change a workspace to a declared state.
 type ApplyRequest struct {
 	Request
 	Workspace File
-	// Template may be nil if that version was applied before.
+	// Template may be nil if its version was applied before.
 	Template *File
 }
 
-// RollbackRequest asks for an earlier version of a workspace to come back, as a
-// new change.
+// RollbackRequest asks to restore an earlier version of a workspace by a new change.
 type RollbackRequest struct {
 	Request
 	Workspace string
-	// To is the version whose content is brought back.
+	// To is the version to restore.
 	To uint64
 }
 
-// Apply commits a declaration and pushes it to the other hosts. It returns once
-// the outcome is known or ctx ends.
+// Apply commits a declaration and pushes it to the other hosts. It returns once the
+// outcome is known or Timings.CommitTimeout has passed; the end of ctx doesn't stop it.
 func (c *Controller) Apply(ctx context.Context, req ApplyRequest) Outcome {
-	p, problems := newDeclared(req.Workspace, req.Template)
+	p, problems := newApplyProposal(req.Workspace, req.Template)
 	if problems != nil {
 		return c.finish(req.Request, Outcome{Result: ResultInvalid, Problems: problems})
 	}
 	return c.commit(ctx, req.Request, p)
 }
 
-// Rollback commits an earlier version as a new change.
+// Rollback commits the content of an earlier version as a new change.
 func (c *Controller) Rollback(ctx context.Context, req RollbackRequest) Outcome {
-	return c.commit(ctx, req.Request, &rollback{c: c, name: req.Workspace, to: req.To})
+	return c.commit(ctx, req.Request, &rollbackProposal{c: c, name: req.Workspace, to: req.To})
 }
 
-// declared is the proposal of Apply.
-type declared struct {
+// applyProposal is the proposal of Apply.
+type applyProposal struct {
 	decl *declare.Declaration
-	// tpl is nil if the request brought no template.
+	// tpl is nil if the request has no template.
 	tpl *declare.Template
 }
 
-func newDeclared(workspace File, template *File) (*declared, declare.Problems) {
-	var p declared
+func newApplyProposal(workspace File, template *File) (*applyProposal, declare.Problems) {
+	var p applyProposal
 	var problems declare.Problems
 	var err error
 	if p.decl, err = declare.ParseWorkspace(workspace.Name, []byte(workspace.Text)); err != nil {
@@ -76,17 +75,17 @@
 	return declare.Problems{{Line: 1, Message: err.Error()}}
 }
 
-func (p *declared) workspace() string { return p.decl.Workspace }
+func (p *applyProposal) workspace() string { return p.decl.Workspace }
 
-func (p *declared) keys() []string {
+func (p *applyProposal) keys() []string {
 	return []string{keyTemplate(p.decl.Template, p.decl.TemplateVersion)}
 }
 
-func (p *declared) made(ch Change) bool {
+func (p *applyProposal) matches(ch Change) bool {
 	return ch.RollbackTo == 0 && ch.Workspace.Name == p.decl.Workspace && ch.Source == string(p.decl.Text)
 }
 
-func (p *declared) build(_ context.Context, extra []ports.Row) (draft, error) {
+func (p *applyProposal) build(_ context.Context, extra []ports.Row) (draft, error) {
 	tpl, ops, err := p.template(extra[0])
 	if err != nil {
 		return draft{}, err
@@ -95,10 +94,11 @@
 	return draft{workspace: ws, source: string(p.decl.Text), ops: ops}, err
 }
 
-// template returns the template to expand and the operation that keeps it. A
-// version, once applied, always has the same text: otherwise two workspaces of
-// one version could differ in ways that no file in version control shows.
-func (p *declared) template(row ports.Row) (*declare.Template, []ports.Op, error) {
+// template returns the template to expand and the operation that stores it. A template
+// version never changes its text once it has been applied: otherwise two workspaces with
+// the same template version could differ in ways that no file under version control
+// shows.
+func (p *applyProposal) template(row ports.Row) (*declare.Template, []ports.Op, error) {
 	switch {
 	case row.Version == 0 && p.tpl == nil:
 		return nil, nil, p.problem("template %s version %d has not been applied yet: send its file along", p.decl.Template, p.decl.TemplateVersion)
@@ -114,26 +114,26 @@
 	}
 }
 
-func (p *declared) problem(format string, args ...any) error {
+func (p *applyProposal) problem(format string, args ...any) error {
 	return declare.Problems{{File: p.decl.File, Line: 1, Field: "templateVersion", Message: fmt.Sprintf(format, args...)}}
 }
 
-// rollback is the proposal of Rollback.
-type rollback struct {
+// rollbackProposal is the proposal of Rollback.
+type rollbackProposal struct {
 	c    *Controller
 	name string
 	to   uint64
 }
 
-func (p *rollback) workspace() string { return p.name }
+func (p *rollbackProposal) workspace() string { return p.name }
 
-func (p *rollback) keys() []string { return []string{keyVersion(p.name, p.to)} }
+func (p *rollbackProposal) keys() []string { return []string{keyVersion(p.name, p.to)} }
 
-func (p *rollback) made(ch Change) bool {
+func (p *rollbackProposal) matches(ch Change) bool {
 	return ch.RollbackTo == p.to && ch.Workspace.Name == p.name
 }
 
-func (p *rollback) build(ctx context.Context, extra []ports.Row) (draft, error) {
+func (p *rollbackProposal) build(ctx context.Context, extra []ports.Row) (draft, error) {
 	if extra[0].Version == 0 {
 		return draft{}, declare.Problems{{Line: 1, Field: "to", Message: fmt.Sprintf("workspace %s has no version %d", p.name, p.to)}}
 	}
--- a/controller/config/query.go
+++ b/controller/config/query.go
@@ -10,19 +10,20 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Plan is what an Apply would do.
+// Plan is the result of a dry run of Apply.
 type Plan struct {
 	Workspace string `json:"workspace"`
-	// Base is the version to hand to Apply.
+	// Base is the workspace version to pass to Apply.
 	Base        uint64               `json:"base"`
 	Differences []declare.Difference `json:"differences"`
-	// Problems are set, and Differences empty, if Apply would be refused.
+	// Problems are set, and Differences empty, if Apply would reject the declaration.
 	Problems declare.Problems `json:"problems,omitempty"`
 }
 
-// Plan compares a declaration with the table. The error is the platform's.
+// Plan compares a declaration with the table without changing it. The error comes from
+// the platform.
 func (c *Controller) Plan(ctx context.Context, workspace File, template *File) (Plan, error) {
-	p, problems := newDeclared(workspace, template)
+	p, problems := newApplyProposal(workspace, template)
 	if problems != nil {
 		return Plan{Problems: problems}, nil
 	}
@@ -30,25 +31,25 @@
 	if err != nil {
 		return Plan{}, err
 	}
-	out := Plan{Workspace: p.workspace(), Base: b.workspace.Version}
-	d, err := p.build(ctx, b.extra)
+	out := Plan{Workspace: p.workspace(), Base: b.workspaceRow.Version}
+	d, err := p.build(ctx, b.extraRows)
 	if err != nil {
 		out.Problems = asProblems(err)
 		return out, nil
 	}
-	out.Problems, err = c.clashes(ctx, b.head.Sequence, d.workspace)
+	out.Problems, err = c.hostNameConflicts(ctx, b.head.Sequence, d.workspace)
 	if err != nil || out.Problems != nil {
 		return out, err
 	}
 	var present *declare.Workspace
-	if b.workspace.Version != 0 {
-		present = &b.present.Workspace
+	if b.workspaceRow.Version != 0 {
+		present = &b.current.Workspace
 	}
 	out.Differences = declare.Diff(present, &d.workspace)
 	return out, nil
 }
 
-// HostStatus is the configuration that one host has in force.
+// HostStatus is the configuration state of one host.
 type HostStatus struct {
 	ID       ports.HostID `json:"id"`
 	Zone     string       `json:"zone"`
@@ -56,7 +57,7 @@
 	Sequence uint64       `json:"sequence"`
 }
 
-// WorkspaceStatus is one workspace as this host has it in force.
+// WorkspaceStatus is a workspace in this host's active configuration.
 type WorkspaceStatus struct {
 	Name            string `json:"name"`
 	Version         uint64 `json:"version"`
@@ -64,22 +65,23 @@
 	TemplateVersion uint64 `json:"templateVersion"`
 }
 
-// Status tells which hosts have a change in force.
+// Status reports which hosts have applied a change.
 type Status struct {
-	// Sequence is the change asked about, Own what this host has in force.
+	// Sequence is the change asked about, LocalSequence that of this host's
+	// configuration.
 	Sequence      uint64 `json:"sequence"`
 	LocalSequence uint64 `json:"own"`
 	Confirmed     bool   `json:"confirmed"`
-	// InForce is set if no host is pending.
+	// InForce is set if this host has applied the change and no host is pending.
 	InForce bool `json:"inForce"`
-	// Pending are the hosts that have not acknowledged the change. Leaving
-	// hosts are not waited for: they take no new calls.
+	// Pending are the hosts that haven't applied the change. Leaving hosts are not
+	// included: they take no new calls.
 	Pending    []ports.HostID    `json:"pending,omitempty"`
 	Hosts      []HostStatus      `json:"hosts"`
 	Workspaces []WorkspaceStatus `json:"workspaces,omitempty"`
 }
 
-// Status reports on a sequence number; 0 stands for this host's own.
+// Status reports on a sequence number; 0 stands for that of this host's configuration.
 func (c *Controller) Status(ctx context.Context, sequence uint64) Status {
 	cfg := c.Board.Config.Load()
 	if sequence == 0 {
@@ -105,8 +107,8 @@
 	blackboard.MemberLeaving:   "leaving",
 }
 
-// hostStatus lists the hosts. Those whose last heartbeat is behind the wanted
-// sequence are asked directly, because heartbeats lag.
+// hostStatus lists the hosts. Heartbeats lag, so hosts whose last heartbeat is below the
+// sequence number are queried directly.
 func (c *Controller) hostStatus(ctx context.Context, sequence uint64) []HostStatus {
 	members := c.Board.Members.Load().Members
 	out := make([]HostStatus, len(members))
@@ -119,30 +121,30 @@
 			behind = append(behind, m.Host.ID)
 		}
 	}
-	for _, a := range c.heads(ctx, behind) {
+	for _, a := range c.queryHeads(ctx, behind) {
 		i := slices.IndexFunc(out, func(h HostStatus) bool { return h.ID == a.from })
 		out[i].Sequence = max(out[i].Sequence, a.Sequence)
 	}
 	return out
 }
 
-// WaitInForce returns once every live host has the change in force, or with the
-// last status when ctx ends.
+// WaitInForce returns once the change is in force on every host that isn't leaving, or
+// with the last status when ctx ends.
 func (c *Controller) WaitInForce(ctx context.Context, sequence uint64) Status {
 	for {
 		st := c.Status(ctx, sequence)
-		if st.InForce || sleep(ctx, c.Timings.Tick) != nil {
+		if st.InForce || sleep(ctx, c.Timings.ClockInterval) != nil {
 			return st
 		}
 	}
 }
 
-// maxHistory bounds the changes returned at once.
+// maxHistory bounds the changes that History returns.
 const maxHistory = 200
 
-// History returns the newest changes, the newest first, of one workspace or of
-// all if the name is empty. Sources are left out unless one workspace is asked
-// about. The error is the platform's.
+// History returns the newest changes of a workspace, or of all if the name is empty, the
+// newest first. A limit that is not positive or above 200 stands for 200. Sources are
+// included only if a workspace is named. The error comes from the platform.
 func (c *Controller) History(ctx context.Context, workspace string, limit int) ([]Change, error) {
 	if limit <= 0 || limit > maxHistory {
 		limit = maxHistory
@@ -173,7 +175,7 @@
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, ch.delta())
+		out = append(out, ch.withoutSource())
 	}
 	return out, nil
 }
--- a/controller/config/random_test.go
+++ b/controller/config/random_test.go
@@ -21,8 +21,8 @@
 	"github.com/cactusproxy/cactusproxy/internal/standin/store"
 )
 
-// TestMain fixes the scripts that the randomised tests run, unless the command
-// line asks for others.
+// TestMain fixes the seed and the number of checks of the randomised tests, unless given
+// on the command line.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	fixed := map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true", "rapid.checks": "300"}
@@ -35,16 +35,16 @@
 	os.Exit(m.Run())
 }
 
-// step is one line of a script. Host numbers are taken modulo the hosts there.
+// step is one step of a random script. Host numbers are taken modulo the number of hosts.
 type step struct {
 	Kind  string
 	Host  int
 	Other int
-	// Who applies, to what workspace and with what value.
-	Who       string
+	// Operator applies Value to Workspace.
+	Operator  string
 	Workspace string
 	Value     int
-	For       time.Duration
+	Duration  time.Duration
 }
 
 const fleetSize = 5
@@ -60,45 +60,45 @@
 			Kind:      rapid.SampledFrom(stepKinds).Draw(t, "kind"),
 			Host:      rapid.IntRange(0, fleetSize-1).Draw(t, "host"),
 			Other:     rapid.IntRange(0, fleetSize-1).Draw(t, "other"),
-			Who:       rapid.SampledFrom([]string{"ana", "eva"}).Draw(t, "who"),
+			Operator:  rapid.SampledFrom([]string{"ana", "eva"}).Draw(t, "who"),
 			Workspace: rapid.SampledFrom([]string{"v", "w"}).Draw(t, "workspace"),
 			Value:     rapid.IntRange(1, 1000).Draw(t, "value"),
-			For:       time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond,
+			Duration:  time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond,
 		}
 	}), 10, 40).Draw(t, "script")
 }
 
-// run is one script under way.
+// run is a script in execution.
 type run struct {
-	fleet *confignet.Fleet
-	watch *watch
-	ops   sync.WaitGroup
-	nth   atomic.Int64
+	fleet   *confignet.Fleet
+	checker *checker
+	ops     sync.WaitGroup
+	lastID  atomic.Int64
 
-	down atomic.Bool
+	storeDown atomic.Bool
 
-	mu       sync.Mutex
-	seen     map[string]uint64 // the version each operator has seen, by name/workspace
-	requests []*request
+	mu           sync.Mutex
+	seenVersions map[string]uint64 // version that each operator has seen, by operator/workspace
+	requests     []*request
 }
 
-// play runs a script in virtual time and returns what went wrong.
-func play(t *testing.T, script []step, configure func(*config.Controller)) (faults []string) {
+// runScript executes a script in virtual time and returns the violations found.
+func runScript(t *testing.T, script []step, configure func(*config.Controller)) (failures []string) {
 	synctest.Test(t, func(*testing.T) {
-		r := &run{fleet: confignet.Empty(), seen: make(map[string]uint64)}
+		r := &run{fleet: confignet.Empty(), seenVersions: make(map[string]uint64)}
 		r.fleet.Configure = configure
-		r.watch = newWatch(r)
+		r.checker = newChecker(r)
 		r.fleet.StartAll(fleetSize)
-		pass(time.Second)
+		advanceTime(time.Second)
 		for _, s := range script {
 			r.step(s)
 		}
 		r.settle()
-		faults = r.watch.finish()
+		failures = r.checker.finish()
 		r.fleet.Close()
-		pass(10 * time.Second)
+		advanceTime(10 * time.Second)
 	})
-	return faults
+	return failures
 }
 
 func (r *run) step(s step) {
@@ -106,7 +106,7 @@
 	h, other := hosts[s.Host%len(hosts)], hosts[s.Other%len(hosts)]
 	switch s.Kind {
 	case "apply":
-		r.apply(h, s, s.Who)
+		r.apply(h, s, s.Operator)
 	case "race":
 		r.apply(h, s, "ana")
 		s.Value++
@@ -121,7 +121,7 @@
 		var n atomic.Int64
 		r.setStore(store.Faults{LoseReply: func() bool { return n.Add(1)%2 == 1 }})
 	case "late-commit":
-		h.DelayCommit(s.For / 8)
+		h.DelayCommit(s.Duration / 8)
 	case "isolate":
 		r.fleet.Isolate(h)
 	case "cut-platform":
@@ -132,27 +132,27 @@
 		r.fleet.Heal()
 	case "pause":
 		r.fleet.Isolate(h)
-		h.Jump(s.For)
+		h.Jump(s.Duration)
 	case "replace":
-		r.watch.forget(h)
+		r.checker.forget(h)
 		r.fleet.Stop(h)
 		r.fleet.Start()
 	case "slow":
-		r.fleet.SlowDown(h, s.For/2)
+		r.fleet.SlowDown(h, s.Duration/2)
 	case "wait":
-		pass(s.For)
+		advanceTime(s.Duration)
 	}
-	r.watch.look() // a fault that ends before the next tick must be seen
-	pass(time.Duration(s.Value) * 100 * time.Microsecond)
+	r.checker.check() // catch a fault that ends before the next tick
+	advanceTime(time.Duration(s.Value) * 100 * time.Microsecond)
 }
 
 func (r *run) setStore(f store.Faults) {
-	r.down.Store(f.Down)
+	r.storeDown.Store(f.Down)
 	r.fleet.Store.SetFaults(f)
 }
 
-// settle ends all faults, sends every uncertain request again, and lets the
-// bound pass.
+// settle ends all faults, repeats every request with an uncertain outcome, and waits for
+// the propagation bound.
 func (r *run) settle() {
 	r.setStore(store.Faults{})
 	r.fleet.Heal()
@@ -162,23 +162,23 @@
 		if q.out.Result == config.ResultUncertain || q.out.Result == "" {
 			r.ops.Go(func() {
 				q.finish(q.send(h))
-				r.watch.accepted(q.out)
+				r.checker.accepted(q.out)
 			})
 			r.ops.Wait()
 		}
 	}
-	pass(bound + 100*time.Millisecond)
+	advanceTime(propagationBound + 100*time.Millisecond)
 }
 
-// request is one operator's request and its outcome.
+// request is an operator's request and its outcome.
 type request struct {
-	who, workspace string
-	base           uint64
-	value          int
-	send           func(h *confignet.Host) config.Outcome
-	called         time.Time
-	returned       time.Time
-	out            config.Outcome
+	operator, workspace string
+	base                uint64
+	value               int
+	send                func(h *confignet.Host) config.Outcome
+	called              time.Time
+	returned            time.Time
+	out                 config.Outcome
 }
 
 func (q *request) finish(out config.Outcome) {
@@ -186,12 +186,12 @@
 	q.returned = time.Now()
 }
 
-func (r *run) request(h *confignet.Host, who, workspace string, send func(config.Request, *confignet.Host) config.Outcome, value int) {
-	key := who + "/" + workspace
+func (r *run) request(h *confignet.Host, operator, workspace string, send func(config.Request, *confignet.Host) config.Outcome, value int) {
+	key := operator + "/" + workspace
 	r.mu.Lock()
-	base := r.seen[key]
-	req := config.Request{ID: fmt.Sprint("c", r.nth.Add(1)), Operator: who, Base: base}
-	q := &request{who: who, workspace: workspace, base: base, value: value, called: time.Now()}
+	base := r.seenVersions[key]
+	req := config.Request{ID: fmt.Sprint("c", r.lastID.Add(1)), Operator: operator, Base: base}
+	q := &request{operator: operator, workspace: workspace, base: base, value: value, called: time.Now()}
 	q.send = func(h *confignet.Host) config.Outcome { return send(req, h) }
 	r.requests = append(r.requests, q)
 	r.mu.Unlock()
@@ -200,79 +200,80 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		q.finish(out)
-		r.watch.accepted(out)
+		r.checker.accepted(out)
 		switch {
 		case out.Change != nil:
-			r.seen[key] = out.Change.Workspace.Version
+			r.seenVersions[key] = out.Change.Workspace.Version
 		case out.Result == config.ResultConflict && out.Conflicting != nil:
-			r.seen[key] = out.Conflicting.Workspace.Version
+			r.seenVersions[key] = out.Conflicting.Workspace.Version
 		}
 	})
 }
 
-func (r *run) apply(h *confignet.Host, s step, who string) {
-	r.request(h, who, s.Workspace, func(req config.Request, h *confignet.Host) config.Outcome {
-		return h.Controller.Apply(context.Background(), confignet.Change(req.ID, who, s.Workspace, req.Base, s.Value))
+func (r *run) apply(h *confignet.Host, s step, operator string) {
+	r.request(h, operator, s.Workspace, func(req config.Request, h *confignet.Host) config.Outcome {
+		return h.Controller.Apply(context.Background(), confignet.Change(req.ID, operator, s.Workspace, req.Base, s.Value))
 	}, s.Value)
 }
 
 func (r *run) rollback(h *confignet.Host, s step) {
-	r.request(h, s.Who, s.Workspace, func(req config.Request, h *confignet.Host) config.Outcome {
+	r.request(h, s.Operator, s.Workspace, func(req config.Request, h *confignet.Host) config.Outcome {
 		return h.Controller.Rollback(context.Background(), config.RollbackRequest{Request: req, Workspace: s.Workspace, To: 1})
-	}, rolledBack)
+	}, valueOfVersion1)
 }
 
-// Two operators change two workspaces through random hosts while answers are
-// lost, commits take effect late, the store fails, hosts are cut off, paused,
-// slowed and replaced. No host goes back, hosts agree on each sequence, no two
-// changes win on one version, and what was accepted is in force on a host
-// within the bound from when it can reach the store or a host that has it.
+// Two operators change two workspaces through random hosts while replies are lost,
+// commits take effect late, the store fails, and hosts are isolated, paused, slowed down
+// and replaced. No host may go back to a lower sequence number, hosts must agree on the
+// configuration of each sequence number, no two changes may succeed on one version, and a
+// host must have every accepted change within the bound after it can reach the store or a
+// host that has it.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		script := drawScript(rt)
-		for _, fault := range play(t, script, nil) {
+		for _, fault := range runScript(t, script, nil) {
 			rt.Error(fault)
 		}
 	})
 }
 
-// A host that applies what it is sent without comparing sequence numbers must
-// be stopped by the invariant: the older change would come back into force.
+// A host that applies changes without comparing sequence numbers would bring back an
+// older one. The invariant must stop it.
 func TestApplyWithoutComparingIsCaught(t *testing.T) {
 	var caught atomic.Int64
 	onInvariant(t, &caught)
 	synctest.Test(t, func(t *testing.T) {
 		f := confignet.NewFleet(2)
-		pass(time.Second)
+		advanceTime(time.Second)
 		h := f.Hosts()
 		first := change(t, h[0], "c1", 0, 7, config.ResultApplied)
 		change(t, h[0], "c2", 1, 8, config.ResultApplied)
-		pass(time.Second)
+		advanceTime(time.Second)
 		h[0].Controller.PushTo(h[1].ID, *first.Change)
-		pass(time.Second)
+		advanceTime(time.Second)
 		assert.Equal(t, caught.Load(), int64(0))
-		h[1].Controller.ApplyWithoutComparing()
+		h[1].Controller.SkipSequenceCheck()
 		h[0].Controller.PushTo(h[1].ID, *first.Change)
-		pass(time.Second)
+		advanceTime(time.Second)
 		assert.Equal(t, caught.Load(), int64(1))
 		f.Close()
-		pass(bound)
+		advanceTime(propagationBound)
 	})
 }
 
-// The same broken rule, on all hosts, must also be found by the scripts.
+// The random scripts, too, must detect hosts that don't compare sequence numbers.
 func TestRandomFaultsCatchApplyWithoutComparing(t *testing.T) {
 	var caught atomic.Int64
 	onInvariant(t, &caught)
 	script := rapid.Custom(drawScript)
 	for seed := range 40 {
-		_ = play(t, script.Example(seed), (*config.Controller).ApplyWithoutComparing)
+		_ = runScript(t, script.Example(seed), (*config.Controller).SkipSequenceCheck)
 	}
 	assert.Check(t, caught.Load() > 0)
 	t.Logf("caught %d times in 40 scripts", caught.Load())
 }
 
-// onInvariant counts broken invariants and ends the goroutine that broke one.
+// onInvariant counts violations of the invariant and ends the goroutine that caused one.
 func onInvariant(t *testing.T, caught *atomic.Int64) {
 	t.Helper()
 	invariant.SetHandler(func(name invariant.Name, _ string) {
--- a/controller/config/round.go
+++ b/controller/config/round.go
@@ -12,57 +12,58 @@
 	"github.com/cactusproxy/cactusproxy/peer"
 )
 
-// answer is one peer's reply about its configuration.
-type answer struct {
+// peerReply is a peer's reply about its configuration.
+type peerReply struct {
 	from peer.HostID
 	headReply
 }
 
-// evidence is how a configuration was confirmed by peers, and how long before the
-// question.
-type evidence struct {
-	how string
-	age time.Duration
+// confirmation tells how peers confirmed a configuration. Its age is relative to the
+// start of the query.
+type confirmation struct {
+	source string
+	age    time.Duration
 }
 
-// askPeers asks other hosts what they have in force, fetches the newest and,
-// if the answers allow it, confirms.
+// queryPeers asks other hosts for their sequence numbers, fetches the newest
+// configuration and records a confirmation if the replies allow one.
 //
-// A sample of the hosts is asked first and, if its evidence is old, the rest too: without
-// the store only more than half of all hosts make new evidence, and a host that waited for
-// its own to lapse would refuse calls in between. What the sample holds is applied before
-// the rest is asked: questions to hosts that are lost take a PeerTimeout.
-func (c *Controller) askPeers(ctx context.Context) {
-	asked := c.Now()
+// It queries a sample of the hosts first, and the rest too if the sample's confirmation
+// is too old: while the store is unavailable only a majority of all hosts yields a new
+// confirmation, and a host that waited for its own to expire would refuse calls in the
+// meantime. The newest configuration of the sample is applied before the rest is queried,
+// since queries to failed hosts take a PeerTimeout.
+func (c *Controller) queryPeers(ctx context.Context) {
+	askedAt := c.Now()
 	hosts := c.peers()
 	first := c.sample(hosts)
-	answers := c.heads(ctx, first)
-	isNewest := c.takeNewest(ctx, answers)
-	e, ok := c.evidenceIn(answers, len(hosts)+1)
-	if !ok || e.age > c.Timings.PeerAge {
-		answers = append(answers, c.heads(ctx, without(hosts, first))...)
-		isNewest = c.takeNewest(ctx, answers)
-		e, ok = c.evidenceIn(answers, len(hosts)+1)
+	replies := c.queryHeads(ctx, first)
+	isNewest := c.fetchNewest(ctx, replies)
+	e, ok := c.confirmationFrom(replies, len(hosts)+1)
+	if !ok || e.age > c.Timings.PeerRefreshAge {
+		replies = append(replies, c.queryHeads(ctx, exclude(hosts, first))...)
+		isNewest = c.fetchNewest(ctx, replies)
+		e, ok = c.confirmationFrom(replies, len(hosts)+1)
 	}
 	if isNewest && ok {
-		c.confirm(asked, e)
+		c.confirm(askedAt, e)
 	}
 }
 
-// without returns the hosts that are not among others.
-func without(hosts, others []peer.HostID) []peer.HostID {
+// exclude returns the hosts that are not among others.
+func exclude(hosts, others []peer.HostID) []peer.HostID {
 	return slices.DeleteFunc(slices.Clone(hosts), func(h peer.HostID) bool { return slices.Contains(others, h) })
 }
 
-// takeNewest applies the newest configuration among the answers, and reports whether
-// there were any and the host has it.
-func (c *Controller) takeNewest(ctx context.Context, answers []answer) bool {
-	if len(answers) == 0 {
+// fetchNewest applies the newest configuration among the replies. It reports whether
+// there were any replies and the host now has the newest configuration among them.
+func (c *Controller) fetchNewest(ctx context.Context, replies []peerReply) bool {
+	if len(replies) == 0 {
 		return false
 	}
-	slices.SortFunc(answers, func(a, b answer) int { return cmp.Compare(b.Sequence, a.Sequence) })
-	before, newest := c.Sequence(), answers[0].Sequence
-	for _, a := range answers {
+	slices.SortFunc(replies, func(a, b peerReply) int { return cmp.Compare(b.Sequence, a.Sequence) })
+	before, newest := c.Sequence(), replies[0].Sequence
+	for _, a := range replies {
 		if c.Sequence() >= newest || a.Sequence <= c.Sequence() {
 			break
 		}
@@ -74,50 +75,51 @@
 	return c.Sequence() >= newest
 }
 
-// evidenceIn returns what the answers say for the newest among them. The answers of
-// more than half of all hosts are evidence of the moment of asking: no change can have
-// been in force everywhere that none of them holds. Hosts that hold nothing, and of
-// which none is confirmed, may all be new, and prove nothing. Fewer hosts are as good
-// as the youngest evidence of one of them: taken for evidence of the moment of asking,
-// it would let hosts that are cut off together confirm one another for ever.
-func (c *Controller) evidenceIn(answers []answer, fleet int) (evidence, bool) {
-	confirmed := slices.ContainsFunc(answers, func(a answer) bool { return a.Confirmed })
-	if 2*(len(answers)+1) > fleet && (c.Sequence() > 0 || confirmed) {
-		return evidence{how: confirmedByMost}, true
+// confirmationFrom returns the confirmation that the replies yield for the newest
+// configuration among them. A majority of all hosts confirms as of the time of the query:
+// no change can be in force everywhere that none of them has. A majority without any
+// configuration and without a confirmed host proves nothing, because all of them may have
+// just started. Fewer replies are only as good as the youngest confirmation among them:
+// if they counted as of the time of the query, hosts cut off together could confirm each
+// other indefinitely.
+func (c *Controller) confirmationFrom(replies []peerReply, fleet int) (confirmation, bool) {
+	confirmed := slices.ContainsFunc(replies, func(a peerReply) bool { return a.Confirmed })
+	if 2*(len(replies)+1) > fleet && (c.Sequence() > 0 || confirmed) {
+		return confirmation{source: confirmedByMajority}, true
 	}
-	youngest, found := evidence{how: confirmedByPeer}, false
-	for _, a := range answers {
-		if age, ok := a.evidenceAge(); ok && (!found || age < youngest.age) {
+	youngest, found := confirmation{source: confirmedByPeer}, false
+	for _, a := range replies {
+		if age, ok := a.confirmationAge(); ok && (!found || age < youngest.age) {
 			youngest.age, found = age, true
 		}
 	}
 	return youngest, found
 }
 
-// sample returns the hosts to ask first: all by a host that is not confirmed, a few
-// at random by a confirmed one in a large fleet.
+// sample returns the hosts to query first: all of them in a small fleet or while this
+// host isn't confirmed, otherwise a few at random.
 func (c *Controller) sample(hosts []peer.HostID) []peer.HostID {
 	if len(hosts) <= smallFleet || !c.Fresh() {
 		return hosts
 	}
-	return c.pickHosts(slices.Clone(hosts), peerSample)
+	return c.pickHosts(slices.Clone(hosts), peerSampleSize)
 }
 
-// heads asks hosts at once, at most maxAsked at a time.
-func (c *Controller) heads(ctx context.Context, hosts []peer.HostID) []answer {
+// queryHeads queries hosts in parallel, at most maxParallelQueries at a time.
+func (c *Controller) queryHeads(ctx context.Context, hosts []peer.HostID) []peerReply {
 	var mu sync.Mutex
-	var out []answer
+	var out []peerReply
 	var g errgroup.Group
-	g.SetLimit(maxAsked)
+	g.SetLimit(maxParallelQueries)
 	for _, h := range hosts {
 		g.Go(func() error {
-			reply, err := c.head(ctx, h)
+			reply, err := c.queryHead(ctx, h)
 			if err != nil {
-				return nil // a host that gives no answer is left out
+				return nil // hosts that don't reply are left out
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			out = append(out, answer{from: h, headReply: reply})
+			out = append(out, peerReply{from: h, headReply: reply})
 			return nil
 		})
 	}
@@ -125,7 +127,7 @@
 	return out
 }
 
-func (c *Controller) head(ctx context.Context, host peer.HostID) (headReply, error) {
+func (c *Controller) queryHead(ctx context.Context, host peer.HostID) (headReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timings.PeerTimeout)
 	defer cancel()
 	return peer.Call[headReply](ctx, c.Link, host, kindHead, headRequest{Sequence: c.Sequence()})
--- a/controller/config/snapshot.go
+++ b/controller/config/snapshot.go
@@ -13,50 +13,49 @@
 	"github.com/cactusproxy/cactusproxy/declare"
 )
 
-// SnapshotName is the object that holds the snapshot.
+// SnapshotName is the name of the snapshot in the object store.
 const SnapshotName = "config/snapshot"
 
 const (
-	snapshotMagic = "cpcfg001"
-	snapshotHead  = len(snapshotMagic) + 8
-	// snapshotGap is the least time between two snapshots written by a host.
-	snapshotGap = 2 * time.Second
-	// snapshotRetry is the wait after a snapshot that could not be written.
-	snapshotRetry = 5 * time.Second
+	snapshotMagic      = "cpcfg001"
+	snapshotHeaderSize = len(snapshotMagic) + 8
+	// minSnapshotInterval is the minimum time between two snapshots written by a host.
+	minSnapshotInterval = 2 * time.Second
+	// snapshotRetryDelay is the wait after a snapshot that could not be written.
+	snapshotRetryDelay = 5 * time.Second
 )
 
-// errDamaged says that a snapshot is not what was written.
-var errDamaged = errors.New("damaged snapshot")
+// errDamagedSnapshot means that a snapshot is truncated, altered or not a snapshot.
+var errDamagedSnapshot = errors.New("damaged snapshot")
 
-// encodeSnapshot returns magic, checksum of the body, body.
+// encodeSnapshot returns the magic string, the checksum of the body, and the body.
 func encodeSnapshot(cfg *declare.Config) []byte {
 	body := encode(cfg)
-	out := make([]byte, 0, snapshotHead+len(body))
+	out := make([]byte, 0, snapshotHeaderSize+len(body))
 	out = append(out, snapshotMagic...)
 	out = binary.BigEndian.AppendUint64(out, xxhash.Sum64(body))
 	return append(out, body...)
 }
 
-// decodeSnapshot refuses a snapshot whose checksum does not match. Without the
-// check a torn or altered object would be served as configuration by every host
-// that starts from it.
+// decodeSnapshot rejects a snapshot whose checksum doesn't match. Otherwise every host
+// that starts from a truncated or altered object would serve it as its configuration.
 func decodeSnapshot(raw []byte) (*declare.Config, error) {
-	if len(raw) < snapshotHead || string(raw[:len(snapshotMagic)]) != snapshotMagic {
-		return nil, errors.Wrap(errDamaged, "no header")
+	if len(raw) < snapshotHeaderSize || string(raw[:len(snapshotMagic)]) != snapshotMagic {
+		return nil, errors.Wrap(errDamagedSnapshot, "no header")
 	}
-	body := raw[snapshotHead:]
-	if binary.BigEndian.Uint64(raw[len(snapshotMagic):snapshotHead]) != xxhash.Sum64(body) {
-		return nil, errors.Wrap(errDamaged, "checksum differs")
+	body := raw[snapshotHeaderSize:]
+	if binary.BigEndian.Uint64(raw[len(snapshotMagic):snapshotHeaderSize]) != xxhash.Sum64(body) {
+		return nil, errors.Wrap(errDamagedSnapshot, "checksum differs")
 	}
 	cfg := new(declare.Config)
 	if err := msgpack.Unmarshal(body, cfg); err != nil {
-		return nil, errors.Mark(err, errDamaged)
+		return nil, errors.Mark(err, errDamagedSnapshot)
 	}
 	return cfg, nil
 }
 
-// readSnapshot returns nil without an error if there is no sound snapshot or
-// the object store is out: the table then has to do.
+// readSnapshot returns the snapshot, or nil without an error if there is no valid one or
+// the object store is unavailable; the caller then reads the table.
 func (c *Controller) readSnapshot(ctx context.Context) (*declare.Config, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.Timings.ReadTimeout)
 	defer cancel()
@@ -70,14 +69,14 @@
 	}
 	cfg, err := decodeSnapshot(raw)
 	if err != nil {
-		c.refused.Add(refusedDamage, 1)
+		c.refused.Add(refusedDamaged, 1)
 		c.Log.Error("config snapshot refused", zap.Error(err))
 		return nil, nil
 	}
 	return cfg, nil
 }
 
-// requestSnapshot has a snapshot written soon.
+// requestSnapshot asks writeSnapshots to write a snapshot.
 func (c *Controller) requestSnapshot() {
 	select {
 	case c.snapshot <- struct{}{}:
@@ -85,9 +84,9 @@
 	}
 }
 
-// writeSnapshots writes the configuration in force after changes. Two hosts may
-// write in either order; an older snapshot only makes a start read more of the
-// log, because a start always catches up to the head row.
+// writeSnapshots writes a snapshot of the active configuration whenever one is requested.
+// Hosts may overwrite a newer snapshot with an older one. That only makes a starting host
+// read more of the log, since it always catches up to the head row.
 func (c *Controller) writeSnapshots(ctx context.Context) error {
 	for {
 		select {
@@ -95,12 +94,12 @@
 			return nil
 		case <-c.snapshot:
 		}
-		wait := snapshotGap
+		wait := minSnapshotInterval
 		if err := c.writeSnapshot(ctx); err != nil {
 			c.events.Add("snapshot_write_failed", 1)
 			c.Log.Warn("config snapshot not written", zap.Error(err))
 			c.requestSnapshot()
-			wait = snapshotRetry
+			wait = snapshotRetryDelay
 		}
 		select {
 		case <-ctx.Done():
--- a/controller/config/store.go
+++ b/controller/config/store.go
@@ -13,31 +13,32 @@
 )
 
 const (
-	// scanPage is the number of rows read at once.
+	// scanPage is the number of rows per page of a scan.
 	scanPage = 200
-	// maxReplay is the number of changes up to which the log alone is read.
-	maxReplay = 32
+	// maxLogReplay is the number of missing changes up to which a host reads only the
+	// log.
+	maxLogReplay = 32
 )
 
-// errStoreBehind says that the table lost changes that are in force. A commit
-// would give their sequence numbers a second meaning, and hosts that have them
-// would never apply it.
+// errStoreBehind means that the table has lost changes that are active on this host. A
+// commit would reuse their sequence numbers, and hosts that have the lost changes would
+// never apply it.
 var errStoreBehind = errors.New("the table is behind the configuration in force")
 
-// errLogGap says that the log lacks a change that the head row counts.
+// errLogGap means that the log lacks a change that the head row includes.
 var errLogGap = errors.New("change missing from the log")
 
-// refreshFromStore reads the head row, catches up and confirms.
+// refreshFromStore reads the head row, catches up with it and records a confirmation.
 func (c *Controller) refreshFromStore(ctx context.Context) {
-	asked, before := c.Now(), c.Sequence()
+	askedAt, before := c.Now(), c.Sequence()
 	head, err := c.readHead(ctx)
 	if err != nil {
 		c.events.Add("store_read_failed", 1)
 		c.storeFailed.Store(true)
 		return
 	}
-	c.storeSeen.Store(&asked)
-	if c.isBehind(head, before) {
+	c.storeReadAt.Store(&askedAt)
+	if c.isStoreBehind(head, before) {
 		c.Log.Error("store is behind this host", zap.Uint64("store", head.Sequence), zap.Uint64("sequence", before))
 	}
 	if err := c.catchUp(ctx, head.Sequence); err != nil {
@@ -47,16 +48,16 @@
 		return
 	}
 	c.storeFailed.Store(false)
-	c.confirm(asked, evidence{how: confirmedByStore})
+	c.confirm(askedAt, confirmation{source: confirmedByStore})
 	if c.Sequence() > before {
 		c.announce()
 	}
 }
 
-// isBehind reports whether the head row is older than what this host had in
-// force before it was read. Only a table that lost writes, such as one restored
-// from a backup, can be. The host keeps what it has.
-func (c *Controller) isBehind(head headRow, before uint64) bool {
+// isStoreBehind reports whether the head row is older than the configuration that this
+// host had before reading it. This only happens if the table lost writes, for example
+// when it was restored from a backup. The host keeps its configuration.
+func (c *Controller) isStoreBehind(head headRow, before uint64) bool {
 	if head.Sequence >= before {
 		return false
 	}
@@ -84,10 +85,10 @@
 	return c.Table.Scan(ctx, prefix, after, scanPage)
 }
 
-// catchUp brings the host to at least the wanted sequence: from the log if it
-// lacks few changes, else from the snapshot or the workspace rows first.
+// catchUp brings the host to at least the given sequence number. If few changes are
+// missing it reads the log, otherwise it loads the snapshot or the workspace rows first.
 func (c *Controller) catchUp(ctx context.Context, want uint64) error {
-	if want > c.Sequence()+maxReplay {
+	if want > c.Sequence()+maxLogReplay {
 		if err := c.load(ctx); err != nil {
 			return err
 		}
@@ -112,7 +113,7 @@
 		if err != nil {
 			return err
 		}
-		if c.applyChange(ch, eventStore) == appliedGap {
+		if c.applyChange(ch, eventStore) == applyGap {
 			return errors.Wrapf(errLogGap, "before %d", ch.Sequence)
 		}
 	}
@@ -122,8 +123,8 @@
 	return nil
 }
 
-// load installs the snapshot, or without a sound one what the workspace rows
-// say.
+// load installs the snapshot or, if there is no valid newer one, the contents of the
+// workspace rows.
 func (c *Controller) load(ctx context.Context) error {
 	cfg, err := c.readSnapshot(ctx)
 	if err != nil {
@@ -138,16 +139,17 @@
 		return err
 	}
 	c.installConfig(cfg, eventStore)
-	// Asked for before, the snapshot could be of the configuration that these rows
-	// replace, an empty one on a start, and be of no use to later starts.
+	// The snapshot must be requested after the installation. Otherwise the writer could
+	// store the configuration that these rows replace, which is empty on a start and of
+	// no use to hosts that start later.
 	c.requestSnapshot()
 	return nil
 }
 
-// readWorkspaces builds a configuration from the workspace rows. Rows written
-// while they are being read may be newer than the head row read first, so the
-// result takes its sequence from before the reading and the log is replayed
-// over it up to the newest row seen: it is then whole at that sequence.
+// readWorkspaces builds a configuration from the workspace rows. Rows written during the
+// scan may be newer than the head row read before it. The result therefore starts from
+// the sequence number of that head row, and the log is replayed up to the newest change
+// found in a workspace row, which makes the result consistent at that sequence number.
 func (c *Controller) readWorkspaces(ctx context.Context) (*declare.Config, error) {
 	head, err := c.readHead(ctx)
 	if err != nil {
@@ -174,12 +176,12 @@
 		after = rows[len(rows)-1].Key
 	}
 	slices.SortFunc(cfg.Workspaces, func(a, b declare.Workspace) int { return strings.Compare(a.Name, b.Name) })
-	return c.replayOver(ctx, cfg, newest)
+	return c.replayOnto(ctx, cfg, newest)
 }
 
-// replayOver applies to a configuration under construction the changes up to
-// the newest one that was seen in a workspace row.
-func (c *Controller) replayOver(ctx context.Context, cfg *declare.Config, newest map[string]uint64) (*declare.Config, error) {
+// replayOnto applies the log to a configuration under construction, up to the newest
+// change found in a workspace row.
+func (c *Controller) replayOnto(ctx context.Context, cfg *declare.Config, newest map[string]uint64) (*declare.Config, error) {
 	var want uint64
 	for _, seq := range newest {
 		want = max(want, seq)
@@ -200,14 +202,15 @@
 			if ch.Sequence != cfg.Sequence+1 {
 				return nil, errors.Wrapf(errLogGap, "before %d", ch.Sequence)
 			}
-			cfg = withNewest(cfg, ch, newest)
+			cfg = withChangeUnlessNewer(cfg, ch, newest)
 		}
 	}
 	return cfg, nil
 }
 
-// withNewest applies a change unless the workspace row already was newer.
-func withNewest(cfg *declare.Config, ch Change, newest map[string]uint64) *declare.Config {
+// withChangeUnlessNewer applies a change unless the workspace row already held a newer
+// one.
+func withChangeUnlessNewer(cfg *declare.Config, ch Change, newest map[string]uint64) *declare.Config {
 	if newest[ch.Workspace.Name] > ch.Sequence {
 		return &declare.Config{Sequence: ch.Sequence, Workspaces: cfg.Workspaces}
 	}
