--- a/backpressure/backpressure.go
+++ b/backpressure/backpressure.go
@@ -102,7 +102,7 @@
 			Subject:   quota.SubjectTarget,
 			Zone:      d.Zone,
 			Tolerance: Tolerance,
-			Watched:   d.Watched,
+			StoreWatched:   d.Watched,
 			Metrics:   d.Metrics,
 			Log:       d.Log,
 		}),
@@ -197,11 +197,11 @@
 	t := g.Target()
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
-	a := p.asker.Ask(ctx, policy.Request{
+	a := p.asker.Acquire(ctx, policy.Request{
 		Name: string(t.Run()),
 		Zone: zoneOf(t.Zone, p.deps.Board.Members.Load()),
 		Left: -1,
-		Word: p.limits.Word(string(t.Run())),
+		Word: p.limits.Observed(string(t.Run())),
 	})
 	limit, _ := p.limits.Limit(string(t.Run()))
 	switch {
@@ -231,7 +231,7 @@
 		}
 	}
 	if p.limits.Heard(service, t, s) {
-		p.asker.Tell(string(t.Run()), zoneOf(t.Zone, p.deps.Board.Members.Load()))
+		p.asker.NotifyOwner(string(t.Run()), zoneOf(t.Zone, p.deps.Board.Members.Load()))
 	}
 }
 
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -89,8 +89,8 @@
 	return changed || s.Limit.Named && now.Sub(before.at) > tellAfter
 }
 
-// Hear takes in what another host knows of a target's limit.
-func (l *limits) Hear(run string, w quota.Word) {
+// Observe takes in what another host knows of a target's limit.
+func (l *limits) Observe(run string, w quota.Word) {
 	limit := targetapi.Limit{Named: w.Rate > 0, PerSecond: w.Rate}
 	before, taken := l.note(ports.RunID(run), word{limit: limit, at: time.Now().Add(-w.Age)})
 	if taken && before.limit != limit {
@@ -113,8 +113,8 @@
 	return quota.Limit{Rate: l.words[ports.RunID(run)].rate()}, true
 }
 
-// Word returns what is known of a target's limit, for other hosts.
-func (l *limits) Word(run string) quota.Word {
+// Observed returns what is known of a target's limit, for other hosts.
+func (l *limits) Observed(run string) quota.Word {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w, known := l.words[ports.RunID(run)]
--- a/controller/quota/borrow.go
+++ b/controller/quota/borrow.go
@@ -38,11 +38,11 @@
 	c.mu.Lock()
 	want := p.Want()
 	c.mu.Unlock()
-	lent := make(chan float64, len(c.deps.Others))
-	for _, zone := range c.deps.Others {
+	lent := make(chan float64, len(c.deps.OtherZones))
+	for _, zone := range c.deps.OtherZones {
 		go func() { lent <- c.borrowFrom(zone, name, want) }()
 	}
-	for range c.deps.Others {
+	for range c.deps.OtherZones {
 		n := <-lent
 		c.mu.Lock()
 		p.Borrowed(time.Now(), n)
--- a/controller/quota/fleet_test.go
+++ b/controller/quota/fleet_test.go
@@ -115,8 +115,8 @@
 	h.board.Routes.Store(fl.table)
 	others := slices.DeleteFunc(slices.Clone(zones), func(z string) bool { return z == h.zone })
 	h.c = New(Deps{
-		Board: h.board, Link: link, Kind: peer.KindQuota, Limits: Tenants{h.board}, Subject: SubjectTenant, Zone: h.zone, Others: others, Tolerance: tolerance,
-		Watched: func() bool { return fl.watched(h) }, Metrics: metrics.New(), Log: zap.NewNop(),
+		Board: h.board, Link: link, Kind: peer.KindQuota, Limits: Tenants{h.board}, Subject: SubjectTenant, Zone: h.zone, OtherZones: others, Tolerance: tolerance,
+		StoreWatched: func() bool { return fl.watched(h) }, Metrics: metrics.New(), Log: zap.NewNop(),
 	})
 	h.c.handOver = fl.handOver
 	ctx, cancel := context.WithCancel(context.Background())
--- a/controller/quota/own.go
+++ b/controller/quota/own.go
@@ -21,10 +21,10 @@
 		return takeReply{Verdict: elsewhere, Owner: owner}
 	}
 	if req.Word.Known {
-		c.deps.Limits.Hear(req.Name, req.Word)
+		c.deps.Limits.Observe(req.Name, req.Word)
 	}
 	reply := c.decideOwn(ctx, req, place)
-	reply.Word = c.deps.Limits.Word(req.Name)
+	reply.Word = c.deps.Limits.Observed(req.Name)
 	return reply
 }
 
@@ -83,10 +83,10 @@
 	return c.partOf(now, name, l, place).decide(now, false)
 }
 
-// Tell tells the owner of a zone's part what this host knows of its limit. A word that is lost
+// NotifyOwner tells the owner of a zone's part what this host knows of its limit. A word that is lost
 // comes with the next question.
-func (c *Controller) Tell(name, zone string) {
-	w := c.deps.Limits.Word(name)
+func (c *Controller) NotifyOwner(name, zone string) {
+	w := c.deps.Limits.Observed(name)
 	for _, id := range c.owners(name, zone) {
 		if id == c.self {
 			return
@@ -100,7 +100,7 @@
 
 func (c *Controller) onTell(_ context.Context, _ ports.HostID, n tellNotice) (none, error) {
 	if n.Word.Known {
-		c.deps.Limits.Hear(n.Name, n.Word)
+		c.deps.Limits.Observe(n.Name, n.Word)
 	}
 	return none{}, nil
 }
--- a/controller/quota/owners.go
+++ b/controller/quota/owners.go
@@ -148,7 +148,7 @@
 	switch {
 	case !m.Complete:
 		return false
-	case len(m.Members) <= 1 || c.deps.Watched():
+	case len(m.Members) <= 1 || c.deps.StoreWatched():
 		return true
 	default:
 		return c.reachesMost(m)
--- a/controller/quota/part.go
+++ b/controller/quota/part.go
@@ -91,7 +91,7 @@
 		since = since.Add(c.handOver)
 	}
 	p := &part{
-		Part:   quota.NewPart(since, l, c.deps.Tolerance, 1+len(c.deps.Others)),
+		Part:   quota.NewPart(since, l, c.deps.Tolerance, 1+len(c.deps.OtherZones)),
 		place:  place,
 		usedAt: now,
 
--- a/controller/quota/quota.go
+++ b/controller/quota/quota.go
@@ -37,15 +37,15 @@
 	Limits  Limits
 	Subject string
 	// Zone is this host's availability zone, Others are all others.
-	Zone   string
-	Others []string
+	Zone       string
+	OtherZones []string
 	// Tolerance is by how much quotas may be exceeded.
 	Tolerance quota.Tolerance
-	// Watched reports whether this host has word of the platform's store, by a host that
+	// StoreWatched reports whether this host has word of the platform's store, by a host that
 	// watches it.
-	Watched func() bool
-	Metrics *metrics.Set
-	Log     *zap.Logger
+	StoreWatched func() bool
+	Metrics      *metrics.Set
+	Log          *zap.Logger
 }
 
 // Limits are quotas by name. Implementations are safe for concurrent use.
@@ -53,10 +53,10 @@
 	// Limit returns a quota; a rate of 0 means that there is none, false that the name is not
 	// known here.
 	Limit(name string) (quota.Limit, bool)
-	// Word returns what this host knows of a limit where the configuration doesn't say, Hear
+	// Observed returns what this host knows of a limit where the configuration doesn't say, Hear
 	// takes in what another one knows.
-	Word(name string) quota.Word
-	Hear(name string, w quota.Word)
+	Observed(name string) quota.Word
+	Observe(name string, w quota.Word)
 }
 
 // Controller runs on every host. It is safe for concurrent use.
--- a/controller/quota/take.go
+++ b/controller/quota/take.go
@@ -73,7 +73,7 @@
 	if l, known := c.deps.Limits.Limit(req.Name); !known || l.Rate == 0 {
 		return outcome.Result{}
 	}
-	switch a := c.Ask(ctx, req); {
+	switch a := c.Acquire(ctx, req); {
 	case a.Granted:
 		return outcome.Result{}
 	case a.Known:
@@ -85,8 +85,8 @@
 	}
 }
 
-// Answer is what is said of a request.
-type Answer struct {
+// Decision is what is said of a request.
+type Decision struct {
 	// Granted is set if the request is within the quota.
 	Granted bool
 	// Known is false if no host could tell. Else Wait is how long it takes until there is room.
@@ -94,12 +94,12 @@
 	Wait  time.Duration
 }
 
-// Ask counts a request against a quota, of which this host may know nothing.
-func (c *Controller) Ask(ctx context.Context, req quota.Request) Answer {
+// Acquire counts a request against a quota, of which this host may know nothing.
+func (c *Controller) Acquire(ctx context.Context, req quota.Request) Decision {
 	name := req.Name
 	if wait := c.fullFor(name); wait > 0 {
 		c.count.denied.Add(1)
-		return Answer{Known: true, Wait: wait}
+		return Decision{Known: true, Wait: wait}
 	}
 	now := time.Now()
 	c.mu.Lock()
@@ -107,26 +107,26 @@
 	c.mu.Unlock()
 	if reused {
 		c.count.granted.Add(1)
-		return Answer{Granted: true}
+		return Decision{Granted: true}
 	}
 	reply := c.askOwners(ctx, req)
 	if reply.Word.Known {
-		c.deps.Limits.Hear(name, reply.Word)
+		c.deps.Limits.Observe(name, reply.Word)
 	}
 	switch reply.Verdict {
 	case granted:
 		c.count.granted.Add(1)
-		return Answer{Granted: true}
+		return Decision{Granted: true}
 	case denied:
 		c.count.denied.Add(1)
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		a := c.callerOf(name, time.Now())
 		a.fullUntil = time.Now().Add(reply.Wait)
-		return Answer{Known: true, Wait: reply.Wait}
+		return Decision{Known: true, Wait: reply.Wait}
 	default:
 		c.count.unknown.Add(1)
-		return Answer{}
+		return Decision{}
 	}
 }
 
--- a/controller/quota/tenants.go
+++ b/controller/quota/tenants.go
@@ -21,8 +21,8 @@
 	return quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}, true
 }
 
-// Word implements Limits. The configuration alone says what a tenant's quota is.
-func (Tenants) Word(string) quota.Word { return quota.Word{} }
+// Observed implements Limits. The configuration alone says what a tenant's quota is.
+func (Tenants) Observed(string) quota.Word { return quota.Word{} }
 
-// Hear implements Limits.
-func (Tenants) Hear(string, quota.Word) {}
+// Observe implements Limits.
+func (Tenants) Observe(string, quota.Word) {}
--- a/controller/quota/ways_test.go
+++ b/controller/quota/ways_test.go
@@ -88,7 +88,7 @@
 	for _, h := range fl.hosts {
 		fl.kill(h)
 		fl.start(h)
-		h.c.deps.Zone, h.c.deps.Others = "all", nil
+		h.c.deps.Zone, h.c.deps.OtherZones = "all", nil
 	}
 	time.Sleep(10 * time.Second)
 }
--- a/edge/quota.go
+++ b/edge/quota.go
@@ -29,9 +29,9 @@
 		Limits:    quota.Tenants{Board: d.board},
 		Subject:   quota.SubjectTenant,
 		Zone:      d.settings.Host.Zone,
-		Others:    d.otherZones(),
+		OtherZones:    d.otherZones(),
 		Tolerance: d.quotaTolerance(),
-		Watched:   d.watch.Watched,
+		StoreWatched:   d.watch.Watched,
 		Metrics:   d.metrics,
 		Log:       d.log,
 	})
