--- a/controller/config/checker_test.go
+++ b/controller/config/checker_test.go
@@ -139,14 +139,14 @@
 
 // checkIsolated checks that a host that reaches no other host and no store stops serving.
 func (c *checker) checkIsolated(h *confignet.Host, hosts []*confignet.Host) {
-	isolated := h.PlatformCut() || c.r.storeDown.Load()
+	cutOff := h.PlatformCut() || c.r.storeDown.Load()
 	for _, other := range hosts {
-		isolated = isolated && (other == h || c.r.fleet.Severed(h, other))
+		cutOff = cutOff && (other == h || c.r.fleet.Severed(h, other))
 	}
 	since, ok := c.isolated[h]
 	timings := config.DefaultTimings()
 	switch {
-	case !isolated:
+	case !cutOff:
 		delete(c.isolated, h)
 	case !ok:
 		c.isolated[h] = time.Now()
--- a/controller/config/commit.go
+++ b/controller/config/commit.go
@@ -106,12 +106,15 @@
 
 // base is the state of the table that a commit is based on.
 type base struct {
-	head         headRow
-	headRow      ports.Row
-	changeRow    ports.Row
-	workspaceRow ports.Row
-	current      Change
-	extraRows    []ports.Row
+	head    headRow
+	headRow ports.Row
+	// change is the row of the change ID, which exists if the request was committed before.
+	change    ports.Row
+	workspace ports.Row
+	// current is the change in the workspace row, the zero value if there is none.
+	current Change
+	// extraRows are the rows of proposal.keys.
+	extraRows []ports.Row
 }
 
 // commit retries a proposal until it is committed, rejected or out of time.
@@ -188,10 +191,10 @@
 	if c.isStoreBehind(b.head, before) {
 		return Outcome{}, false, errStoreBehind
 	}
-	if b.changeRow.Version != 0 {
+	if b.change.Version != 0 {
 		return c.alreadyCommitted(ctx, b, p)
 	}
-	if b.workspaceRow.Version != req.Base {
+	if b.workspace.Version != req.Base {
 		return conflict(b), true, nil
 	}
 	d, err := p.build(ctx, b.extraRows)
@@ -221,11 +224,11 @@
 	if err != nil {
 		return base{}, err
 	}
-	b := base{headRow: rows[0], changeRow: rows[1], workspaceRow: rows[2], extraRows: rows[3:]}
+	b := base{headRow: rows[0], change: rows[1], workspace: rows[2], extraRows: rows[3:]}
 	if b.head, err = decodeRow[headRow](b.headRow); err != nil {
 		return base{}, err
 	}
-	b.current, err = decodeRow[Change](b.workspaceRow)
+	b.current, err = decodeRow[Change](b.workspace)
 	return b, err
 }
 
@@ -233,7 +236,7 @@
 // belongs to a different change is rejected: otherwise the operator would believe that
 // this request was applied.
 func (c *Controller) alreadyCommitted(ctx context.Context, b base, p proposal) (Outcome, bool, error) {
-	sequence, err := decodeRow[uint64](b.changeRow)
+	sequence, err := decodeRow[uint64](b.change)
 	if err != nil {
 		return Outcome{}, false, err
 	}
@@ -267,7 +270,7 @@
 
 func conflict(b base) Outcome {
 	out := Outcome{Result: ResultConflict}
-	if b.workspaceRow.Version != 0 {
+	if b.workspace.Version != 0 {
 		out.Conflicting = &b.current
 	}
 	return out
@@ -336,7 +339,7 @@
 	name := ch.Workspace.Name
 	return []ports.Op{
 		{Kind: ports.OpUpdate, Key: keyHead, Version: b.headRow.Version, Value: encode(headRow{ch.Sequence, ch.ID})},
-		{Kind: ports.OpUpdate, Key: keyWorkspace(name), Version: b.workspaceRow.Version, Value: value},
+		{Kind: ports.OpUpdate, Key: keyWorkspace(name), Version: b.workspace.Version, Value: value},
 		{Kind: ports.OpInsert, Key: keyLog(ch.Sequence), Value: value},
 		{Kind: ports.OpInsert, Key: keyChange(ch.ID), Value: encode(ch.Sequence)},
 		{Kind: ports.OpInsert, Key: keyVersion(name, ch.Workspace.Version), Value: encode(ch.Sequence)},
--- a/controller/config/config.go
+++ b/controller/config/config.go
@@ -115,10 +115,10 @@
 	// replace it.
 	accepts func(present, next uint64) bool
 
-	// confirmedAt is the time as of which the configuration is known to be the newest:
+	// confirmation is the time as of which the configuration is known to be the newest:
 	// the start of the request that confirmed it, less the age of the reply. Nil if it
 	// isn't confirmed.
-	confirmedAt atomic.Pointer[time.Time]
+	confirmation atomic.Pointer[time.Time]
 	// storeReadAt is the start of the last read of the head row that succeeded.
 	storeReadAt atomic.Pointer[time.Time]
 	// storeFailed is set while the last read from the store failed.
--- a/controller/config/confirm.go
+++ b/controller/config/confirm.go
@@ -28,7 +28,7 @@
 
 // confirmationAge returns the age of the confirmation, and whether it is still valid.
 func (c *Controller) confirmationAge() (age time.Duration, fresh bool) {
-	at := c.confirmedAt.Load()
+	at := c.confirmation.Load()
 	if at == nil {
 		return 0, false
 	}
@@ -43,7 +43,7 @@
 	if resumed := c.resumedAt.Load(); resumed != nil && askedAt.Before(*resumed) {
 		return
 	}
-	advance(&c.confirmedAt, askedAt.Add(-e.age))
+	advance(&c.confirmation, askedAt.Add(-e.age))
 	c.events.Add(e.source, 1)
 	c.updateStatus()
 }
@@ -109,7 +109,7 @@
 	c.events.Add("pauses", 1)
 	c.Log.Warn("host was paused", zap.Duration("gap", gap))
 	c.resumedAt.Store(&now)
-	c.confirmedAt.Store(nil)
+	c.confirmation.Store(nil)
 	c.triggerPoll()
 }
 
--- a/controller/config/peers.go
+++ b/controller/config/peers.go
@@ -97,18 +97,18 @@
 func (c *Controller) onPush(_ context.Context, from peer.HostID, m pushMsg) (empty, error) {
 	c.forward(m.Change, m.Rest)
 	if c.applyChange(m.Change, eventPush) == applyGap {
-		c.addHint(from, m.Change.Sequence)
+		c.hint(from, m.Change.Sequence)
 	}
 	return empty{}, nil
 }
 
 func (c *Controller) onAnnounce(_ context.Context, from peer.HostID, m announceMsg) (empty, error) {
-	c.addHint(from, m.Sequence)
+	c.hint(from, m.Sequence)
 	return empty{}, nil
 }
 
 func (c *Controller) onHead(_ context.Context, from peer.HostID, req headRequest) (headReply, error) {
-	c.addHint(from, req.Sequence)
+	c.hint(from, req.Sequence)
 	age, fresh := c.confirmationAge()
 	return headReply{Sequence: c.Sequence(), Confirmed: fresh, Age: &age}, nil
 }
@@ -165,9 +165,9 @@
 	sequence uint64
 }
 
-// addHint queues a fetch from a peer that is ahead. If the queue is full, the hint is
+// hint queues a fetch from a peer that is ahead. If the queue is full, the hint is
 // dropped: the next poll or round of queries finds the same change.
-func (c *Controller) addHint(from peer.HostID, sequence uint64) {
+func (c *Controller) hint(from peer.HostID, sequence uint64) {
 	if sequence <= c.Sequence() {
 		return
 	}
@@ -209,7 +209,7 @@
 		}
 	}
 	if best.from != c.Link.Self() {
-		c.addHint(best.from, best.sequence)
+		c.hint(best.from, best.sequence)
 	}
 }
 
--- a/controller/config/query.go
+++ b/controller/config/query.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return Plan{}, err
 	}
-	out := Plan{Workspace: p.workspace(), Base: b.workspaceRow.Version}
+	out := Plan{Workspace: p.workspace(), Base: b.workspace.Version}
 	d, err := p.build(ctx, b.extraRows)
 	if err != nil {
 		out.Problems = asProblems(err)
@@ -41,11 +41,11 @@
 	if err != nil || out.Problems != nil {
 		return out, err
 	}
-	var present *declare.Workspace
-	if b.workspaceRow.Version != 0 {
-		present = &b.current.Workspace
+	var current *declare.Workspace
+	if b.workspace.Version != 0 {
+		current = &b.current.Workspace
 	}
-	out.Differences = declare.Diff(present, &d.workspace)
+	out.Differences = declare.Diff(current, &d.workspace)
 	return out, nil
 }
 
--- a/controller/config/random_test.go
+++ b/controller/config/random_test.go
@@ -44,7 +44,7 @@
 	Operator  string
 	Workspace string
 	Value     int
-	Duration  time.Duration
+	Period    time.Duration
 }
 
 const fleetSize = 5
@@ -63,7 +63,7 @@
 			Operator:  rapid.SampledFrom([]string{"ana", "eva"}).Draw(t, "who"),
 			Workspace: rapid.SampledFrom([]string{"v", "w"}).Draw(t, "workspace"),
 			Value:     rapid.IntRange(1, 1000).Draw(t, "value"),
-			Duration:  time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond,
+			Period:    time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond,
 		}
 	}), 10, 40).Draw(t, "script")
 }
@@ -121,7 +121,7 @@
 		var n atomic.Int64
 		r.setStore(store.Faults{LoseReply: func() bool { return n.Add(1)%2 == 1 }})
 	case "late-commit":
-		h.DelayCommit(s.Duration / 8)
+		h.DelayCommit(s.Period / 8)
 	case "isolate":
 		r.fleet.Isolate(h)
 	case "cut-platform":
@@ -132,15 +132,15 @@
 		r.fleet.Heal()
 	case "pause":
 		r.fleet.Isolate(h)
-		h.Jump(s.Duration)
+		h.Jump(s.Period)
 	case "replace":
 		r.checker.forget(h)
 		r.fleet.Stop(h)
 		r.fleet.Start()
 	case "slow":
-		r.fleet.SlowDown(h, s.Duration/2)
+		r.fleet.SlowDown(h, s.Period/2)
 	case "wait":
-		advanceTime(s.Duration)
+		advanceTime(s.Period)
 	}
 	r.checker.check() // catch a fault that ends before the next tick
 	advanceTime(time.Duration(s.Value) * 100 * time.Microsecond)
