--- a/controller/quota/borrow.go
+++ b/controller/quota/borrow.go
@@ -10,20 +10,21 @@
 )
 
 const (
-	// borrowTimeout bounds an exchange with the owner of another zone's part; lenders is how
-	// many hosts of the zone are asked if the first does not answer.
+	// borrowTimeout bounds a request to the owner of another zone's part, maxLenders the
+	// hosts of that zone that are asked if the first doesn't reply.
 	borrowTimeout = 60 * time.Millisecond
-	lenders       = 2
-	// emptyFor is how long zones that had nothing to lend are not asked again.
-	emptyFor = 50 * time.Millisecond
+	maxLenders    = 2
+	// borrowPause is how long no zone is asked again after all had too little to lend.
+	borrowPause = 50 * time.Millisecond
 )
 
-// borrow asks the other zones for tokens. Requests that come meanwhile wait for the same.
-func (c *Controller) borrow(ctx context.Context, name string, l quota.Limit, place int) {
+// borrowOnce asks the other zones for tokens, unless they had none a moment ago.
+// Concurrent requests for the same quota share one exchange.
+func (c *Controller) borrowOnce(ctx context.Context, name string, l quota.Limit, rank int) {
 	c.mu.Lock()
 	now := time.Now()
-	p := c.partOf(now, name, l, place)
-	asked := now.Before(p.emptyUntil)
+	p := c.partOf(now, name, l, rank)
+	asked := now.Before(p.nextBorrowAt)
 	c.mu.Unlock()
 	if asked || ctx.Err() != nil {
 		return
@@ -52,26 +53,26 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if now := time.Now(); p.Tokens(now) < 1 {
-		p.emptyUntil = now.Add(emptyFor)
+		p.nextBorrowAt = now.Add(borrowPause)
 	}
 }
 
-// borrowFrom asks the owner of another zone's part for tokens. What a lost reply carried is
-// lost: it is never in two zones.
+// borrowFrom asks the owner of another zone's part for tokens. Tokens in a lost reply are
+// lost: they are never in two zones at once.
 func (c *Controller) borrowFrom(zone, name string, want float64) float64 {
 	asked := 0
 	for _, id := range c.owners(name, zone) {
-		if c.avoided(id) {
+		if c.backedOff(id) {
 			continue
 		}
-		if asked++; asked > lenders {
+		if asked++; asked > maxLenders {
 			break
 		}
 		c.count.borrowings.Add(1)
 		ctx, cancel := context.WithTimeout(context.Background(), borrowTimeout)
 		reply, err := peer.Call[borrowReply](ctx, c.deps.Link, id, c.deps.Kind+kindBorrow, borrowRequest{Name: name, Want: want})
 		cancel()
-		c.note(id, err == nil)
+		c.recordReply(id, err == nil)
 		if err == nil {
 			return reply.Tokens
 		}
@@ -79,9 +80,9 @@
 	return 0
 }
 
-// onBorrow lends tokens to another zone, if this host owns the part.
+// onBorrow lends tokens to another zone if this host owns the part.
 func (c *Controller) onBorrow(_ context.Context, _ ports.HostID, req borrowRequest) (borrowReply, error) {
-	owner, place := c.ownerByNow(req.Name, c.deps.Zone)
+	owner, rank := c.knownOwner(req.Name, c.deps.Zone)
 	l, known := c.deps.Limits.Limit(req.Name)
 	if owner != c.self || !known || l.Rate == 0 {
 		return borrowReply{}, nil
@@ -89,7 +90,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	p := c.partOf(now, req.Name, l, place)
+	p := c.partOf(now, req.Name, l, rank)
 	lent := p.Lend(now, req.Want)
 	p.lent += lent
 	return borrowReply{Tokens: lent}, nil
--- a/controller/quota/counters.go
+++ b/controller/quota/counters.go
@@ -6,15 +6,17 @@
 	"github.com/cactusproxy/cactusproxy/metrics"
 )
 
-// counters are those of the metrics map "quota" for tenants, else of one with the subject's name
-// before it.
+// counters are those of the metrics map "quota" for tenants, otherwise of the map with
+// the subject's name as a prefix.
 type counters struct {
-	// granted, denied and unknown count the requests of callers of this host.
+	// granted, denied and unknown count the decisions on requests that this host received
+	// from its callers.
 	granted, denied, unknown *expvar.Int
-	// returned counts those that were granted and did not run.
+	// returned counts the grants of requests that didn't run.
 	returned *expvar.Int
-	// owned counts the requests that this host decided on as an owner, followed those of
-	// them in place of another host, borrowings the exchanges with other zones.
+	// owned counts the requests that this host decided as an owner, followed those of
+	// them that it decided in place of a higher-ranked owner, and borrowings the requests
+	// for tokens to other zones.
 	owned, followed, borrowings *expvar.Int
 }
 
--- a/controller/quota/fleet_test.go
+++ b/controller/quota/fleet_test.go
@@ -24,25 +24,27 @@
 
 var tolerance = quota.Tolerance{Window: 5 * time.Second, Share: 0.1, Requests: 20}
 
-// fleet is hosts in three availability zones that keep quotas together, in virtual time.
+// fleet is a number of hosts in three availability zones that enforce quotas together, in
+// virtual time.
 type fleet struct {
 	t       *testing.T
 	net     *peernet.Network
 	members *blackboard.Members
 	table   *routing.Table
 	hosts   []*host
-	// handOver is that of hosts that start from now on; careless ones never miss the store.
-	handOver time.Duration
-	careless bool
-	// callersAt are the hosts that callers come to.
-	callersAt []*host
+	// handoverDelay is that of hosts started from now on. With ignoreCut set, hosts never
+	// notice that they are cut off from the store.
+	handoverDelay time.Duration
+	ignoreCut     bool
+	// entryHosts are the hosts that callers send requests to.
+	entryHosts []*host
 
-	began time.Time
+	startedAt time.Time
 
 	mu sync.Mutex
-	// storeOut is set while the store is out for all.
-	storeOut bool
-	// granted and refused are what callers were told, by tenant.
+	// storeDown is set while the store is unavailable to all hosts.
+	storeDown bool
+	// granted and refused are the decisions that callers received, by tenant.
 	granted map[string][]time.Time
 	refused map[string]int
 }
@@ -54,18 +56,20 @@
 	c     *Controller
 	up    bool
 	stop  func()
-	// unwatchedAt is when the host was cut off from the store and those that watch it.
-	unwatchedAt time.Time
+	// cutOffAt is when the host was cut off from the store and the hosts that watch it.
+	cutOffAt time.Time
 }
 
-// noticeAfter is how long a host takes to miss the heartbeats of those that watch the store.
-const noticeAfter = 600 * time.Millisecond
+// detectionDelay is how long a host takes to notice missing heartbeats from hosts that
+// watch the store.
+const detectionDelay = 600 * time.Millisecond
 
-// watched reports whether a host believes that it has word of the store.
-func (fl *fleet) watched(h *host) bool {
+// storeWatched reports whether a host believes that it hears from a host that watches the
+// store.
+func (fl *fleet) storeWatched(h *host) bool {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
-	return fl.careless || !fl.storeOut && (h.unwatchedAt.IsZero() || time.Since(h.unwatchedAt) < noticeAfter)
+	return fl.ignoreCut || !fl.storeDown && (h.cutOffAt.IsZero() || time.Since(h.cutOffAt) < detectionDelay)
 }
 
 var zones = []string{"a", "b", "c"}
@@ -74,7 +78,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		fl := &fleet{
-			t: t, net: peernet.New(), handOver: usualHandOver, members: &blackboard.Members{Complete: true},
+			t: t, net: peernet.New(), handoverDelay: defaultHandoverDelay, members: &blackboard.Members{Complete: true},
 			granted: make(map[string][]time.Time), refused: make(map[string]int),
 		}
 		fl.net.Delay = func(ports.HostID, ports.HostID) time.Duration { return time.Millisecond }
@@ -85,12 +89,12 @@
 			m := ports.Host{ID: h.id, Zone: h.zone}
 			fl.members.Members = append(fl.members.Members, blackboard.Member{Host: m, State: blackboard.MemberLive, Ready: true})
 		}
-		fl.callersAt = fl.hosts
+		fl.entryHosts = fl.hosts
 		for _, h := range fl.hosts {
 			fl.start(h)
 		}
 		time.Sleep(10 * time.Second)
-		fl.began = time.Now()
+		fl.startedAt = time.Now()
 		f(fl)
 		for _, h := range fl.hosts {
 			fl.kill(h)
@@ -105,7 +109,7 @@
 	return routing.NewTable(c, rand.New(rand.NewPCG(1, 1)))
 }
 
-// start starts a host that knows all others and nothing of what was granted before.
+// start starts a host that knows all others but has no record of earlier grants.
 func (fl *fleet) start(h *host) {
 	link := fl.net.Join(h.id)
 	h.board = blackboard.New()
@@ -116,9 +120,9 @@
 	others := slices.DeleteFunc(slices.Clone(zones), func(z string) bool { return z == h.zone })
 	h.c = New(Deps{
 		Board: h.board, Link: link, Kind: peer.KindQuota, Limits: Tenants{h.board}, Subject: SubjectTenant, Zone: h.zone, OtherZones: others, Tolerance: tolerance,
-		StoreWatched: func() bool { return fl.watched(h) }, Metrics: metrics.New(), Log: zap.NewNop(),
+		StoreWatched: func() bool { return fl.storeWatched(h) }, Metrics: metrics.New(), Log: zap.NewNop(),
 	})
-	h.c.handOver = fl.handOver
+	h.c.handoverDelay = fl.handoverDelay
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -141,8 +145,8 @@
 	}
 }
 
-// cutOff cuts some hosts off from all others and from the store, both ways, but not from each
-// other.
+// cutOff cuts hosts off from the store and, in both directions, from all other hosts, but
+// not from each other.
 func (fl *fleet) cutOff(hosts ...*host) {
 	for _, h := range hosts {
 		for _, other := range fl.hosts {
@@ -152,7 +156,7 @@
 			}
 		}
 		fl.mu.Lock()
-		h.unwatchedAt = time.Now()
+		h.cutOffAt = time.Now()
 		fl.mu.Unlock()
 	}
 }
@@ -163,19 +167,19 @@
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	for _, h := range fl.hosts {
-		h.unwatchedAt = time.Time{}
+		h.cutOffAt = time.Time{}
 	}
 }
 
-// third returns a third of the hosts, at random.
-func (fl *fleet) third(rng *rand.Rand) (some []*host) {
+// randomThird returns a random third of the hosts.
+func (fl *fleet) randomThird(rng *rand.Rand) (some []*host) {
 	for _, i := range rng.Perm(len(fl.hosts))[:len(fl.hosts)/3] {
 		some = append(some, fl.hosts[i])
 	}
 	return some
 }
 
-// configure puts other tenants in force everywhere.
+// configure applies a new list of tenants on all running hosts.
 func (fl *fleet) configure(tenants []routing.Tenant) {
 	fl.table = tableOf(tenants)
 	for _, h := range fl.hosts {
@@ -185,7 +189,7 @@
 	}
 }
 
-// request has a caller of a host send a request of a tenant.
+// request sends a tenant's request through a host.
 func (fl *fleet) request(h *host, tenant string) {
 	if !h.up {
 		return
@@ -198,7 +202,7 @@
 		fl.mu.Lock()
 		defer fl.mu.Unlock()
 		if !h.up || h.c != c {
-			return // nobody is told anything by a host that was killed
+			return // the host was killed, so its caller gets no reply
 		}
 		if r.Outcome == 0 {
 			fl.granted[tenant] = append(fl.granted[tenant], time.Now())
@@ -206,21 +210,22 @@
 		}
 		fl.refused[tenant]++
 		if testing.Verbose() {
-			fl.t.Logf("%s refused at %s after %s: %s %s", tenant, h.id, time.Since(fl.began), r.Reason, r.Why)
+			fl.t.Logf("%s refused at %s after %s: %s %s", tenant, h.id, time.Since(fl.startedAt), r.Reason, r.Why)
 		}
 	}()
 }
 
-// load sends requests of a tenant to random hosts for a while, so many a second.
+// load sends a tenant's requests to random hosts for a duration, at a rate per second.
 func (fl *fleet) load(rng *rand.Rand, tenant string, perSecond float64, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
-		fl.request(fl.callersAt[rng.IntN(len(fl.callersAt))], tenant)
+		fl.request(fl.entryHosts[rng.IntN(len(fl.entryHosts))], tenant)
 	}
 }
 
-// most returns the most requests of a tenant that were granted within any window.
-func (fl *fleet) most(tenant string) int {
+// maxInWindow returns the largest number of a tenant's requests granted within any
+// window.
+func (fl *fleet) maxInWindow(tenant string) int {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	found, from := 0, 0
@@ -233,10 +238,10 @@
 	return found
 }
 
-func (fl *fleet) within(tenant routing.Tenant) {
+func (fl *fleet) assertWithinQuota(tenant routing.Tenant) {
 	fl.t.Helper()
-	n := fl.most(tenant.Name)
-	assert.Check(fl.t, float64(n) <= bound(tenant), "%s: %d within a window, %.1f may be", tenant.Name, n, bound(tenant))
+	n := fl.maxInWindow(tenant.Name)
+	assert.Check(fl.t, float64(n) <= maxGranted(tenant), "%s: %d within a window, %.1f allowed", tenant.Name, n, maxGranted(tenant))
 }
 
 var (
@@ -261,7 +266,7 @@
 	time.Sleep(100 * time.Millisecond)
 }
 
-func (fl *fleet) roll() {
+func (fl *fleet) replaceInTurn() {
 	for _, h := range fl.hosts {
 		time.Sleep(300 * time.Millisecond)
 		fl.kill(h)
@@ -270,12 +275,13 @@
 	}
 }
 
-// bound is the most requests of a tenant that may be granted within a window.
-func bound(tenant routing.Tenant) float64 {
+// maxGranted is the largest number of a tenant's requests that may be granted within a
+// window.
+func maxGranted(tenant routing.Tenant) float64 {
 	return tolerance.Most(quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}, tolerance.Window)
 }
 
-// cutZone cuts a zone off from all others.
+// cutZone cuts the hosts of a zone off from all others, but not from the store.
 func (fl *fleet) cutZone(zone string) {
 	for _, a := range fl.hosts {
 		for _, b := range fl.hosts {
--- a/controller/quota/histories_test.go
+++ b/controller/quota/histories_test.go
@@ -11,53 +11,54 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// seeds is how many random histories are played; more by hand.
+// seeds is the number of random histories to run.
 var seeds = flag.Int("seeds", 10, "random histories")
 
-// Whatever hosts die, start anew, are cut off or come back while all tenants flood, all hosts
-// together stay within the tolerance.
+// All tenants exceed their quotas while hosts and zones fail, restart, are cut off and
+// reconnected. Over all hosts together the grants must stay within the tolerance.
 func TestQuotasHoldOverRandomHistories(t *testing.T) {
 	for seed := range uint64(*seeds) {
 		withFleet(t, 12, []routing.Tenant{large, small}, func(fl *fleet) {
 			fl.t.Logf("seed %d", seed)
-			fl.history(seed)
-			fl.within(large)
-			fl.within(small)
+			fl.runRandomFaults(seed)
+			fl.assertWithinQuota(large)
+			fl.assertWithinQuota(small)
 		})
 	}
 }
 
-// The check of random histories can fail: hosts that spend parts as soon as they come to own
-// them, and never find out that they are cut off, go beyond the quota.
+// Shows that the random histories detect violations: hosts that spend a part's tokens as
+// soon as they own it, and never notice that they are cut off, exceed the quota.
 func TestRandomHistoriesFindWhatTheHandOverGuardsAgainst(t *testing.T) {
 	worst := 0
-	for seed := uint64(0); seed < 40 && float64(worst) <= bound(large); seed++ {
+	for seed := uint64(0); seed < 40 && float64(worst) <= maxGranted(large); seed++ {
 		withFleet(t, 12, []routing.Tenant{large, small}, func(fl *fleet) {
-			fl.handOver, fl.careless = 0, true
+			fl.handoverDelay, fl.ignoreCut = 0, true
 			fl.restartAll()
-			fl.history(seed)
-			worst = max(worst, fl.most(large.Name))
+			fl.runRandomFaults(seed)
+			worst = max(worst, fl.maxInWindow(large.Name))
 		})
 	}
-	assert.Check(t, float64(worst) > bound(large), "at most %d within a window", worst)
+	assert.Check(t, float64(worst) > maxGranted(large), "at most %d within a window", worst)
 }
 
-// history floods for half a minute in which hosts and zones come and go.
-func (fl *fleet) history(seed uint64) {
+// runRandomFaults sends more requests than the quotas allow for 30 seconds while hosts
+// and zones fail and recover.
+func (fl *fleet) runRandomFaults(seed uint64) {
 	const d = 30 * time.Second
 	go fl.load(rand.New(rand.NewPCG(seed, 2)), small.Name, 20, d)
 	go fl.load(rand.New(rand.NewPCG(seed, 1)), large.Name, 4*large.Rate, d)
-	fl.disturb(rand.New(rand.NewPCG(seed, 7)), d)
+	fl.injectFaults(rand.New(rand.NewPCG(seed, 7)), d)
 }
 
-// disturb kills, starts, cuts off and reconnects hosts and zones at random.
-func (fl *fleet) disturb(rng *rand.Rand, d time.Duration) {
+// injectFaults kills, starts, cuts off and reconnects hosts and zones at random.
+func (fl *fleet) injectFaults(rng *rand.Rand, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		time.Sleep(time.Duration(rng.ExpFloat64() * float64(400*time.Millisecond)))
 		h := fl.hosts[rng.IntN(len(fl.hosts))]
 		switch rng.IntN(6) {
 		case 5:
-			fl.cutOff(fl.third(rng)...)
+			fl.cutOff(fl.randomThird(rng)...)
 		case 0:
 			fl.kill(h)
 		case 1:
@@ -76,7 +77,8 @@
 	}
 }
 
-// A zone that is cut off keeps its part, and the others keep theirs.
+// A zone that is cut off from the others keeps its part of the quota, and the others keep
+// theirs.
 func TestQuotaHoldsWhileAZoneIsCutOff(t *testing.T) {
 	withFleet(t, 30, []routing.Tenant{large, small}, func(fl *fleet) {
 		rng := rand.New(rand.NewPCG(1, 1))
@@ -88,31 +90,33 @@
 			fl.heal()
 		}()
 		fl.load(rng, large.Name, 4*large.Rate, 20*time.Second)
-		fl.within(large)
-		fl.within(small)
+		fl.assertWithinQuota(large)
+		fl.assertWithinQuota(small)
 		assert.Check(t, float64(len(fl.granted[large.Name])) >= 0.9*20*large.Rate, "only %d granted", len(fl.granted[large.Name]))
 	})
 }
 
-// A third of the hosts of all zones is cut off together, and both sides flood. Those that were cut
-// off hear each other: they must not own all parts once more among themselves.
+// A third of the hosts, from all zones, is cut off together, and both sides get more
+// requests than the quotas allow. The hosts that are cut off still reach each other: they
+// must not own all parts a second time among themselves.
 func TestQuotaHoldsWhileAThirdOfTheHostsIsCutOffTogether(t *testing.T) {
 	withFleet(t, 30, []routing.Tenant{large, small}, func(fl *fleet) {
 		go fl.load(rand.New(rand.NewPCG(1, 2)), small.Name, 20, 20*time.Second)
 		go func() {
 			time.Sleep(5 * time.Second)
-			fl.cutOff(fl.third(rand.New(rand.NewPCG(3, 1)))...)
+			fl.cutOff(fl.randomThird(rand.New(rand.NewPCG(3, 1)))...)
 			time.Sleep(5 * time.Second)
 			fl.heal()
 		}()
 		fl.load(rand.New(rand.NewPCG(1, 1)), large.Name, 6*large.Rate, 20*time.Second)
-		fl.within(large)
-		fl.within(small)
+		fl.assertWithinQuota(large)
+		fl.assertWithinQuota(small)
 		assert.Check(t, float64(len(fl.granted[large.Name])) >= 0.9*20*large.Rate, "only %d granted", len(fl.granted[large.Name]))
 	})
 }
 
-// Once a quota was lowered, no window that begins after it holds more than the lower one allows.
+// After a quota is lowered, no window that begins later may hold more grants than the
+// lower quota allows.
 func TestLoweredQuotaBinds(t *testing.T) {
 	withFleet(t, 12, []routing.Tenant{large, small}, func(fl *fleet) {
 		lower := large
@@ -125,6 +129,6 @@
 			fl.granted[large.Name] = nil
 		}()
 		fl.load(rand.New(rand.NewPCG(1, 1)), large.Name, 4*large.Rate, 15*time.Second)
-		fl.within(lower)
+		fl.assertWithinQuota(lower)
 	})
 }
--- a/controller/quota/messages.go
+++ b/controller/quota/messages.go
@@ -8,28 +8,28 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Messages between hosts, counted from Deps.Kind.
+// Kinds of messages between hosts, relative to Deps.Kind.
 const (
-	// kindTake asks the owner of a zone's part for one request.
+	// kindTake asks the owner of a zone's part to decide on one request.
 	kindTake peer.Kind = iota
 	// kindBorrow asks the owner of another zone's part for tokens.
 	kindBorrow
 	// kindAlive asks a host whether it can own parts.
 	kindAlive
-	// kindTell tells an owner of a limit.
-	kindTell
+	// kindNotify tells an owner about a limit.
+	kindNotify
 )
 
-// verdict is what an owner says of a request.
+// verdict is an owner's decision on a request.
 type verdict uint8
 
 const (
-	// granted: the request is within the quota.
+	// granted means that the request is within the quota.
 	granted verdict = iota + 1
-	// denied: it is not.
+	// denied means that the request exceeds the quota.
 	denied
-	// elsewhere: another host owns the part, or none that the sender can name.
-	elsewhere
+	// notOwner means that the receiver doesn't own the part, or doesn't know the quota.
+	notOwner
 )
 
 // takeRequest is the body of kindTake.
@@ -37,22 +37,22 @@
 
 type takeReply struct {
 	Verdict verdict `msgpack:"verdict"`
-	// Wait, of a denial, is how long until there is room.
+	// Wait is the time until the quota has room, if Verdict is denied.
 	Wait time.Duration `msgpack:"wait"`
-	// Owner, of elsewhere, is who owns the part; empty if not known.
+	// Owner is the owner of the part if Verdict is notOwner; empty if unknown.
 	Owner ports.HostID `msgpack:"owner"`
-	// Word is what the owner knows of the limit, where the configuration doesn't say.
-	Word quota.Word `msgpack:"word,omitempty"`
+	// Observed is what the owner knows about the limit if it isn't configured.
+	Observed quota.Word `msgpack:"word,omitempty"`
 }
 
-// tellNotice is the body of kindTell.
-type tellNotice struct {
-	Name string     `msgpack:"name"`
-	Word quota.Word `msgpack:"word"`
+// limitNotice is the body of kindNotify.
+type limitNotice struct {
+	Name     string     `msgpack:"name"`
+	Observed quota.Word `msgpack:"word"`
 }
 
-// none is the reply to a notification.
-type none struct{}
+// noReply is the reply to a notification.
+type noReply struct{}
 
 type borrowRequest struct {
 	Name string  `msgpack:"tenant"`
@@ -63,10 +63,10 @@
 	Tokens float64 `msgpack:"tokens"`
 }
 
-// aliveRequest is the empty body of kindAlive.
+// aliveRequest is the body of kindAlive.
 type aliveRequest struct{}
 
 type aliveReply struct {
-	// Owns is set if the host knows all hosts, so that it can own parts.
+	// Owns is set if the host knows all hosts and therefore can own parts.
 	Owns bool `msgpack:"owns"`
 }
--- a/controller/quota/owners.go
+++ b/controller/quota/owners.go
@@ -14,120 +14,125 @@
 )
 
 const (
-	// followers is how many hosts follow each other as owners of a part: with a third of the
-	// hosts down, one part in a thousand has none left.
-	followers = 6
-	// aliveTimeout bounds the question to the host before, aliveFor is how long its answer
-	// holds.
+	// maxOwners is the number of hosts that can succeed each other as owners of a part.
+	// With a third of the hosts down, one part in a thousand is left without an owner.
+	maxOwners = 6
+	// aliveTimeout bounds a kindAlive request to another host, aliveTTL is how long a
+	// positive reply is valid.
 	aliveTimeout = 60 * time.Millisecond
-	aliveFor     = 200 * time.Millisecond
-	// avoidFor is how long a host that did not answer is not asked again. It doubles with
-	// each time, up to maxAvoidFor.
-	avoidFor    = 250 * time.Millisecond
-	maxAvoidFor = time.Second
+	aliveTTL     = 200 * time.Millisecond
+	// minBackoff is how long a host that didn't reply is not contacted again. It doubles
+	// with each failure, up to maxBackoff.
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = time.Second
 )
 
-// usualHandOver is how long a part gains nothing once it has come to another host: until the one
-// before has noticed that it is cut off, or that this one is back. A host that watched the store
-// notices latest, when a watch is overdue.
-const usualHandOver = 1400 * time.Millisecond
+// defaultHandoverDelay is how long a part gains no tokens after it has moved to this
+// host: by then the previous owner has noticed that it is cut off, or that this host is
+// back. The slowest to notice is a host that watched the store, because it has to wait
+// for an overdue watch.
+const defaultHandoverDelay = 1400 * time.Millisecond
 
-// ranks are the owners of parts by the list of hosts at hand.
-type ranks struct {
+// ownerCache caches the owners of parts for one version of the list of hosts.
+type ownerCache struct {
 	version uint64
-	// since is when the list was first seen to be as it is.
-	since time.Time
-	list  map[partKey][]ports.HostID
+	// since is when this version of the list was first seen.
+	since  time.Time
+	byPart map[partKey][]ports.HostID
 }
 
-// partKey names a part.
+// partKey identifies a zone's part of a quota.
 type partKey struct{ name, zone string }
 
-// answer is what a host last answered, or that it did not.
-type answer struct {
+// hostStatus is the result of the last request to a host.
+type hostStatus struct {
 	at   time.Time
 	owns bool
-	// fails is how often in a row it did not answer.
-	fails int
+	// failures counts the requests in a row without a reply.
+	failures int
 }
 
-// avoid returns how long the host is not asked again.
-func (a answer) avoid() time.Duration {
-	return min(avoidFor<<min(max(a.fails-1, 0), 8), maxAvoidFor)
+// backoff returns how long the host is not contacted again.
+func (a hostStatus) backoff() time.Duration {
+	return min(minBackoff<<min(max(a.failures-1, 0), 8), maxBackoff)
 }
 
-// owners returns the hosts that own a zone's part, each if those before it can not.
+// owners returns the hosts that can own a zone's part, in order of rank. Each owns it if
+// those before it can't.
 func (c *Controller) owners(name, zone string) []ports.HostID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refreshRanks(time.Now())
+	c.refreshOwners(time.Now())
 	key := partKey{name, zone}
-	ids, found := c.ranks.list[key]
+	ids, found := c.ownerCache.byPart[key]
 	if !found {
-		ids = rendezvous.Ranked(name, zone, followers, c.deps.Board.Members.Load().Members)
-		c.ranks.list[key] = ids
+		ids = rendezvous.Ranked(name, zone, maxOwners, c.deps.Board.Members.Load().Members)
+		c.ownerCache.byPart[key] = ids
 	}
 	return ids
 }
 
-// refreshRanks begins anew once the list of hosts has changed. The lock is held.
-func (c *Controller) refreshRanks(now time.Time) {
+// refreshOwners clears the cache if the list of hosts has changed. c.mu must be held.
+func (c *Controller) refreshOwners(now time.Time) {
 	version := c.deps.Board.Members.Version()
-	if c.ranks.list != nil && c.ranks.version == version {
+	if c.ownerCache.byPart != nil && c.ownerCache.version == version {
 		return
 	}
-	c.ranks = ranks{version: version, since: now, list: make(map[partKey][]ports.HostID)}
+	c.ownerCache = ownerCache{version: version, since: now, byPart: make(map[partKey][]ports.HostID)}
 }
 
-// note remembers whether a host answered.
-func (c *Controller) note(id ports.HostID, answered bool) { c.noteOwns(id, answered, answered) }
+// recordReply records whether a host replied. A host that did counts as one that can own
+// parts.
+func (c *Controller) recordReply(id ports.HostID, answered bool) {
+	c.recordStatus(id, answered, answered)
+}
 
-// noteOwns remembers whether a host answered, and whether it can own parts.
-func (c *Controller) noteOwns(id ports.HostID, answered, owns bool) {
+// recordStatus records whether a host replied, and whether it can own parts.
+func (c *Controller) recordStatus(id ports.HostID, answered, owns bool) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := answer{at: now, owns: owns}
+	a := hostStatus{at: now, owns: owns}
 	if !answered {
-		a.fails = c.heard[id].fails + 1
+		a.failures = c.contacted[id].failures + 1
 	}
-	c.heard[id] = a
+	c.contacted[id] = a
 }
 
-// avoided reports whether a host did not answer of late, or can own nothing. Once it has been
-// avoided for long enough, it is asked again in the background: a request that waited for that
-// would come late at each host that has yet to find out.
-func (c *Controller) avoided(id ports.HostID) bool {
+// backedOff reports whether a host is in backoff: its last request failed, or it can't
+// own parts. After the backoff the host is probed in the background. Probing within a
+// request would delay requests on every host that hasn't yet found out.
+func (c *Controller) backedOff(id ports.HostID) bool {
 	c.mu.Lock()
-	a, heard := c.heard[id]
+	a, contacted := c.contacted[id]
 	c.mu.Unlock()
-	if !heard || a.owns {
+	if !contacted || a.owns {
 		return false
 	}
-	if time.Since(a.at) >= a.avoid() {
-		go c.check(id)
+	if time.Since(a.at) >= a.backoff() {
+		go c.probe(id)
 	}
 	return true
 }
 
-// alive reports whether another host can own parts, by its own word.
+// alive reports whether another host says that it can own parts.
 func (c *Controller) alive(id ports.HostID) bool {
 	c.mu.Lock()
-	a, heard := c.heard[id]
+	a, contacted := c.contacted[id]
 	c.mu.Unlock()
-	if heard && a.owns && time.Since(a.at) < aliveFor {
+	if contacted && a.owns && time.Since(a.at) < aliveTTL {
 		return true
 	}
-	return !c.avoided(id) && c.check(id)
+	return !c.backedOff(id) && c.probe(id)
 }
 
-// check asks a host whether it can own parts.
-func (c *Controller) check(id ports.HostID) bool {
-	owns, _, _ := c.checks.Do(string(id), func() (any, error) {
+// probe asks a host whether it can own parts.
+func (c *Controller) probe(id ports.HostID) bool {
+	owns, _, _ := c.probes.Do(string(id), func() (any, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), aliveTimeout)
 		defer cancel()
 		reply, err := peer.Call[aliveReply](ctx, c.deps.Link, id, c.deps.Kind+kindAlive, aliveRequest{})
-		c.noteOwns(id, err == nil, reply.Owns)
+		c.recordStatus(id, err == nil, reply.Owns)
 		return err == nil && reply.Owns, nil
 	})
 	return owns.(bool)
@@ -137,13 +142,15 @@
 	return aliveReply{Owns: c.deps.Board.Members.Load().Complete}, nil
 }
 
-// mayOwn reports whether this host can own parts: it knows all hosts, and is not on the smaller
-// side of a cut. A host that knows few takes itself for the owner of everything; hosts that are
-// cut off together would own all parts once more among themselves.
+// canOwn reports whether this host can own parts: it must know all hosts and not be in
+// the minority of a network partition. A host that knows few others would consider itself
+// the owner of everything, and hosts cut off together would own all parts a second time
+// among themselves.
 //
-// Hosts on the smaller side have no word of the store. If the store is out for all, nobody has:
-// then those own parts that reach most others.
-func (c *Controller) mayOwn() bool {
+// Hosts in a minority don't hear from a host that watches the store. If the store is
+// unavailable to all, no host does; then those that reach a majority of the others can
+// own parts.
+func (c *Controller) canOwn() bool {
 	m := c.deps.Board.Members.Load()
 	switch {
 	case !m.Complete:
@@ -151,44 +158,45 @@
 	case len(m.Members) <= 1 || c.deps.StoreWatched():
 		return true
 	default:
-		return c.reachesMost(m)
+		return c.reachesMajority(m)
 	}
 }
 
 const (
-	// askedOfAll is how many others a host asks to learn whether it reaches most of them, and
-	// reachFor how long the answer holds.
-	askedOfAll = 16
-	reachFor   = 500 * time.Millisecond
+	// majoritySampleSize is how many other hosts a host probes to learn whether it
+	// reaches a majority, majorityTTL how long the result is valid.
+	majoritySampleSize = 16
+	majorityTTL        = 500 * time.Millisecond
 )
 
-// reachesMost finds out whether most other hosts answer. A host that they do not answer empties
-// its parts: others own them by now.
-func (c *Controller) reachesMost(m *blackboard.Members) bool {
+// reachesMajority reports whether most other hosts reply, by probing a sample. If they
+// don't, this host resets its parts, since others own them by now.
+func (c *Controller) reachesMajority(m *blackboard.Members) bool {
 	c.mu.Lock()
-	known, most := time.Since(c.askedMostAt) < reachFor, c.mostAnswer
+	known, reachable := time.Since(c.majorityCheckedAt) < majorityTTL, c.majorityReachable
 	c.mu.Unlock()
 	if known {
-		return most
+		return reachable
 	}
-	reaches, _, _ := c.checks.Do("", func() (any, error) {
-		most := c.askSome(someOthers(m, askedOfAll))
+	reaches, _, _ := c.probes.Do("", func() (any, error) {
+		reachable := c.majorityAlive(sampleOthers(m, majoritySampleSize))
 		c.mu.Lock()
-		c.askedMostAt, c.mostAnswer = time.Now(), most
+		c.majorityCheckedAt, c.majorityReachable = time.Now(), reachable
 		c.mu.Unlock()
-		if !most {
-			c.emptyAll(time.Now(), "cut off")
+		if !reachable {
+			c.resetAll(time.Now(), "cut off")
 		}
-		return most, nil
+		return reachable, nil
 	})
 	return reaches.(bool)
 }
 
-// askSome reports whether more than half of some hosts answer.
-func (c *Controller) askSome(ids []ports.HostID) bool {
+// majorityAlive reports whether more than half of the given hosts can own parts, by
+// probing each.
+func (c *Controller) majorityAlive(ids []ports.HostID) bool {
 	answers := make(chan bool, len(ids))
 	for _, id := range ids {
-		go func() { answers <- c.check(id) }()
+		go func() { answers <- c.probe(id) }()
 	}
 	answered := 0
 	for range ids {
@@ -199,8 +207,8 @@
 	return 2*answered > len(ids)
 }
 
-// someOthers returns some hosts but this one, at random.
-func someOthers(m *blackboard.Members, n int) (ids []ports.HostID) {
+// sampleOthers returns up to n random hosts other than this one.
+func sampleOthers(m *blackboard.Members, n int) (ids []ports.HostID) {
 	for _, i := range rand.Perm(len(m.Members)) {
 		if id := m.Members[i].Host.ID; id != m.Self && len(ids) < n {
 			ids = append(ids, id)
@@ -209,47 +217,47 @@
 	return ids
 }
 
-// owner returns the host that owns a zone's part of a quota as far as this host
-// can tell, and its place among those that may; an empty name if it can not tell. The hosts
-// before this one are asked at once.
-func (c *Controller) owner(name, zone string) (id ports.HostID, place int) {
+// owner returns the owner of a zone's part as far as this host can tell, and its rank.
+// The ID is empty if this host can't tell. It probes all hosts that rank before this one
+// at the same time.
+func (c *Controller) owner(name, zone string) (id ports.HostID, rank int) {
 	owners := c.owners(name, zone)
-	place = slices.Index(owners, c.self)
-	if place < 0 {
-		place = len(owners)
+	rank = slices.Index(owners, c.self)
+	if rank < 0 {
+		rank = len(owners)
 	}
-	lives := make([]bool, place)
+	live := make([]bool, rank)
 	var wait sync.WaitGroup
-	for i, id := range owners[:place] {
-		wait.Go(func() { lives[i] = c.alive(id) })
+	for i, id := range owners[:rank] {
+		wait.Go(func() { live[i] = c.alive(id) })
 	}
 	wait.Wait()
-	return c.firstOf(owners, slices.Index(lives, true))
+	return c.ownerAt(owners, slices.Index(live, true))
 }
 
-// ownerByNow is owner by what this host knows at the moment. It asks nobody: who lends to
-// another zone must answer soon.
-func (c *Controller) ownerByNow(name, zone string) (id ports.HostID, place int) {
+// knownOwner is like owner but sends no requests and uses what this host knows already: a
+// lender must reply quickly.
+func (c *Controller) knownOwner(name, zone string) (id ports.HostID, rank int) {
 	owners := c.owners(name, zone)
 	for i, id := range owners {
 		if id == c.self {
 			break
 		}
-		if !c.avoided(id) {
-			return c.firstOf(owners, i)
+		if !c.backedOff(id) {
+			return c.ownerAt(owners, i)
 		}
 	}
-	return c.firstOf(owners, -1)
+	return c.ownerAt(owners, -1)
 }
 
-// firstOf returns the owner with a place; a negative place stands for this host, if it is among
-// them and can own parts.
-func (c *Controller) firstOf(owners []ports.HostID, place int) (ports.HostID, int) {
-	if place < 0 {
-		place = slices.Index(owners, c.self)
-		if place < 0 || !c.mayOwn() {
+// ownerAt returns the owner with the given rank. A negative rank stands for this host,
+// provided that it is among the owners and can own parts.
+func (c *Controller) ownerAt(owners []ports.HostID, rank int) (ports.HostID, int) {
+	if rank < 0 {
+		rank = slices.Index(owners, c.self)
+		if rank < 0 || !c.canOwn() {
 			return "", 0
 		}
 	}
-	return owners[place], place
+	return owners[rank], rank
 }
--- a/controller/quota/part.go
+++ b/controller/quota/part.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// startFor is how long after its start a host counts as one that has just started: what
-	// was used before is forgotten then by all owners of the zone, or by this one.
-	startFor = 2 * time.Second
-	// followFor is how long a host that owns a part in place of another is not asked until
-	// it counts as one that comes to own it anew.
-	followFor = time.Second
+	// startupPeriod is how long a host counts as just started. Its own record of grants
+	// is lost then, and possibly those of all owners of the zone.
+	startupPeriod = 2 * time.Second
+	// takeoverIdle is how long a host that owns a part in place of another may get no
+	// request before it counts as a new owner again.
+	takeoverIdle = time.Second
 )
 
-// part is a zone's part of a quota, in the hands of this host.
+// part is a zone's part of a quota that this host owns.
 type part struct {
 	*quota.Part
-	// place is how many hosts would own the part before this one.
-	place int
-	// usedAt is when it was last asked for.
+	// rank is the number of hosts that come before this one as owners.
+	rank int
+	// usedAt is when the part was last asked for tokens.
 	usedAt time.Time
-	// emptyUntil is when the other zones are next asked for tokens.
-	emptyUntil time.Time
-	// granted and denied count requests since the last report, lent and borrowed the tokens
-	// that went to other zones and came from them.
+	// nextBorrowAt is when the other zones may next be asked for tokens.
+	nextBorrowAt time.Time
+	// granted and denied count the requests since the last report; lent and borrowed are
+	// the tokens sent to and received from other zones in that time.
 	granted, denied int
 	lent, borrowed  float64
-	// arrivals are the requests of each route. The owner sees enough of a tenant's to tell
-	// which came back, where the hosts that they come to see a few each.
+	// arrivals tracks the requests of each route. The owner sees enough of a tenant's
+	// requests to recognise retries, whereas each receiving host sees only a few.
 	arrivals map[string]*quota.Arrivals
 }
 
-// late takes in a request and reports whether it can hardly be answered in time.
+// late records a request and reports whether it is a retry that can hardly be answered in
+// time.
 func (p *part) late(req takeRequest) bool {
 	a := p.arrivals[req.Route]
 	if a == nil {
@@ -45,7 +46,8 @@
 	return a.Late(req)
 }
 
-// decide takes a token for a request, or tells when there is one, and counts it.
+// decide takes a token for a request, or tells when to expect one, and counts the
+// decision.
 func (p *part) decide(now time.Time, late bool) takeReply {
 	if !p.Take(now, late) {
 		p.denied++
@@ -55,44 +57,46 @@
 	return takeReply{Verdict: granted}
 }
 
-// partOf returns the part of a quota that this host owns. The lock is held.
+// partOf returns the part of a quota that this host owns, and creates it if needed. c.mu
+// must be held.
 //
-// Two hosts that follow each other must not both spend what the part gains: one that comes to
-// own it has no tokens and gains none before the other can have noticed. Until then it serves
-// what other zones lend.
-func (c *Controller) partOf(now time.Time, name string, l quota.Limit, place int) *part {
+// Two successive owners must not both spend the tokens that a part gains. A new owner
+// therefore starts without tokens, or with one if the part is small, and gains none until
+// the previous owner must have noticed the change. Until then it uses tokens borrowed
+// from other zones.
+func (c *Controller) partOf(now time.Time, name string, l quota.Limit, rank int) *part {
 	p := c.parts[name]
 	if p == nil {
-		p = c.newPart(now, l, place)
+		p = c.newPart(now, l, rank)
 		c.parts[name] = p
-		c.tellOwned(name, place, p.Tokens(now))
+		c.logOwned(name, rank, p.Tokens(now))
 	}
 	p.SetLimit(now, l)
 	idle := now.Sub(p.usedAt)
 	p.usedAt = now
-	if place != p.place || place > 0 && idle > followFor && !p.Small() {
-		p.place = place
-		p.Follow(now.Add(c.handOver))
-		c.tellOwned(name, place, p.Tokens(now))
+	if rank != p.rank || rank > 0 && idle > takeoverIdle && !p.Small() {
+		p.rank = rank
+		p.Follow(now.Add(c.handoverDelay))
+		c.logOwned(name, rank, p.Tokens(now))
 	}
 	return p
 }
 
-// newPart returns a part that this host comes to own, by the list of hosts since that is as it
-// is.
-func (c *Controller) newPart(now time.Time, l quota.Limit, place int) *part {
-	c.refreshRanks(now)
-	since := c.ranks.since
-	if place > 0 {
+// newPart returns a part that this host has come to own. If this host ranks first, it
+// counts as owner since the current list of hosts was first seen.
+func (c *Controller) newPart(now time.Time, l quota.Limit, rank int) *part {
+	c.refreshOwners(now)
+	since := c.ownerCache.since
+	if rank > 0 {
 		since = now
 	}
-	fresh := now.Sub(c.started) < startFor
+	fresh := now.Sub(c.started) < startupPeriod
 	if !fresh {
-		since = since.Add(c.handOver)
+		since = since.Add(c.handoverDelay)
 	}
 	p := &part{
 		Part:   quota.NewPart(since, l, c.deps.Tolerance, 1+len(c.deps.OtherZones)),
-		place:  place,
+		rank:   rank,
 		usedAt: now,
 
 		arrivals: make(map[string]*quota.Arrivals),
@@ -105,26 +109,28 @@
 	return p
 }
 
-// emptyAll takes the tokens of all parts away: others may have owned them meanwhile.
-func (c *Controller) emptyAll(now time.Time, why string) {
+// resetAll takes the tokens of all parts away, because other hosts may have owned them in
+// the meantime.
+func (c *Controller) resetAll(now time.Time, why string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, p := range c.parts {
-		p.Empty(now.Add(c.handOver))
+		p.Empty(now.Add(c.handoverDelay))
 	}
 	if len(c.parts) > 0 {
 		c.deps.Log.Info("quotas begun anew", zap.String("why", why), zap.Int("parts", len(c.parts)))
 	}
 }
 
-// tellOwned logs that this host owns a part.
-func (c *Controller) tellOwned(name string, place int, tokens float64) {
+// logOwned logs that this host has become the owner of a part.
+func (c *Controller) logOwned(name string, rank int, tokens float64) {
 	c.deps.Log.Info("quota owned", zap.String(c.deps.Subject, name), zap.String("zone", c.deps.Zone),
-		zap.Int("place", place), zap.Float64("tokens", tokens))
+		zap.Int("place", rank), zap.Float64("tokens", tokens))
 }
 
-// report logs what this host decided where more was asked for than there was. The lock is held.
-func (c *Controller) report(name string, p *part) {
+// logDenials logs the decisions since the last report if there were denials, and resets
+// the counts. c.mu must be held.
+func (c *Controller) logDenials(name string, p *part) {
 	if p.denied > 0 {
 		l, _ := c.deps.Limits.Limit(name)
 		c.deps.Log.Info("quota used up", zap.String(c.deps.Subject, name), zap.String("zone", c.deps.Zone),
--- a/controller/quota/quota.go
+++ b/controller/quota/quota.go
@@ -1,8 +1,14 @@
-// Package quota keeps requests within quotas over all hosts: those of tenants, or those that
-// targets take. One host of each availability zone owns the zone's part of a quota and is asked
-// about each request that counts in it; policy/quota has the parts, policy/rendezvous says who
-// owns them. An owner that can not be reached is followed by the next host, which begins with
-// nothing. A request of which no host can tell is refused, or left to who asked.
+// Package quota enforces request quotas across all hosts: those of tenants, and those
+// that targets announce for themselves.
+//
+// A quota is divided into equal parts, one for each availability zone. Each part is a
+// token bucket (policy/quota) owned by one host of the zone, which is chosen by
+// rendezvous hashing (policy/rendezvous). The other hosts ask the owner about each
+// request that counts against the part. An owner that runs out of tokens borrows from the
+// owners in other zones. If an owner can't be reached, the next host in rank takes over
+// and starts without tokens, so that two owners in succession don't exceed the quota. If
+// no host can decide on a request, Take refuses it and Acquire leaves the decision to its
+// caller.
 package quota
 
 import (
@@ -21,40 +27,41 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// What has quotas.
+// Subjects of quotas.
 const (
 	SubjectTenant = "tenant"
 	SubjectTarget = "target"
 )
 
-// Deps is what a Controller works with.
+// Deps are the dependencies of a Controller.
 type Deps struct {
 	Board *blackboard.Board
 	Link  peer.Link
-	// Kind is the first of the kinds of its messages.
+	// Kind is the first message kind of this controller; see kindTake and following.
 	Kind peer.Kind
-	// Limits are the quotas; Subject is what has them, as lines name it.
+	// Limits are the quotas. Subject is the kind of thing that they apply to, for metrics
+	// and log entries.
 	Limits  Limits
 	Subject string
-	// Zone is this host's availability zone, Others are all others.
+	// Zone is this host's availability zone, OtherZones are all others.
 	Zone       string
 	OtherZones []string
-	// Tolerance is by how much quotas may be exceeded.
+	// Tolerance is how far quotas may be exceeded.
 	Tolerance quota.Tolerance
-	// StoreWatched reports whether this host has word of the platform's store, by a host that
-	// watches it.
+	// StoreWatched reports whether this host watches the platform's store or hears from a
+	// host that does.
 	StoreWatched func() bool
 	Metrics      *metrics.Set
 	Log          *zap.Logger
 }
 
-// Limits are quotas by name. Implementations are safe for concurrent use.
+// Limits provides quotas by name. Implementations are safe for concurrent use.
 type Limits interface {
-	// Limit returns a quota; a rate of 0 means that there is none, false that the name is not
-	// known here.
+	// Limit returns a quota. A rate of 0 means that there is none; false means that this
+	// host doesn't know the name.
 	Limit(name string) (quota.Limit, bool)
-	// Observed returns what this host knows of a limit where the configuration doesn't say, Hear
-	// takes in what another one knows.
+	// Observed returns what this host knows about a limit that isn't configured, Observe
+	// records what another host knows.
 	Observed(name string) quota.Word
 	Observe(name string, w quota.Word)
 }
@@ -65,76 +72,80 @@
 	self    ports.HostID
 	count   counters
 	started time.Time
-	// handOver is usualHandOver, but in tests of what it guards against.
-	handOver time.Duration
-	// borrowing has one exchange at a time under way for each quota.
+	// handoverDelay is defaultHandoverDelay, except in tests that show what it prevents.
+	handoverDelay time.Duration
+	// borrowing deduplicates concurrent borrowing for a quota.
 	borrowing singleflight.Group
-	// checks has one question at a time under way to each host.
-	checks singleflight.Group
+	// probes deduplicates concurrent requests for a host's status. The empty key stands
+	// for the check for a majority.
+	probes singleflight.Group
 
 	mu sync.Mutex
-	// callers is what this host knows as one that asks, parts what it owns, by name.
-	callers map[string]*caller
-	parts   map[string]*part
-	// heard is what other hosts last answered.
-	heard map[ports.HostID]answer
-	// mostAnswer is whether most other hosts answered when last asked, at askedMostAt.
-	mostAnswer  bool
-	askedMostAt time.Time
-	ranks       ranks
+	// requesters holds what this host knows about quotas as a requester, parts what it
+	// owns, both by the name of the quota.
+	requesters map[string]*requester
+	parts      map[string]*part
+	// contacted holds the last known status of other hosts.
+	contacted map[ports.HostID]hostStatus
+	// majorityReachable is whether most other hosts replied when last probed, at
+	// majorityCheckedAt.
+	majorityReachable bool
+	majorityCheckedAt time.Time
+	ownerCache        ownerCache
 }
 
-// New returns a controller and registers its messages with the link.
+// New returns a controller and registers its message handlers with the link.
 func New(d Deps) *Controller {
 	c := &Controller{
-		deps:     d,
-		self:     d.Link.Self(),
-		count:    newCounters(d.Metrics, d.Subject),
-		started:  time.Now(),
-		handOver: usualHandOver,
-		callers:  make(map[string]*caller),
-		parts:    make(map[string]*part),
-		heard:    make(map[ports.HostID]answer),
+		deps:          d,
+		self:          d.Link.Self(),
+		count:         newCounters(d.Metrics, d.Subject),
+		started:       time.Now(),
+		handoverDelay: defaultHandoverDelay,
+		requesters:    make(map[string]*requester),
+		parts:         make(map[string]*part),
+		contacted:     make(map[ports.HostID]hostStatus),
 	}
 	peer.Handle(d.Link, d.Kind+kindTake, c.onTake)
 	peer.Handle(d.Link, d.Kind+kindBorrow, c.onBorrow)
 	peer.Handle(d.Link, d.Kind+kindAlive, c.onAlive)
-	peer.Handle(d.Link, d.Kind+kindTell, c.onTell)
+	peer.Handle(d.Link, d.Kind+kindNotify, c.onNotify)
 	return c
 }
 
 const (
-	// sweepEvery is how often what is kept of names that are gone, or were not asked for,
-	// is dropped.
-	sweepEvery = 10 * time.Second
-	// reportEvery is how often an owner tells of quotas beyond which it denied requests.
-	reportEvery = 5 * time.Second
-	// lookEvery is how often a host looks whether it was held up; frozenAfter is the time
-	// between two looks from which on others may have taken over its parts.
-	lookEvery   = 250 * time.Millisecond
-	frozenAfter = time.Second
+	// sweepInterval is how often state is dropped of quotas that no longer exist or
+	// weren't used, and of hosts not heard from.
+	sweepInterval = 10 * time.Second
+	// reportInterval is how often an owner logs the quotas that it denied requests for.
+	reportInterval = 5 * time.Second
+	// tickInterval is how often a host checks whether it was stalled. If two checks are
+	// more than stallThreshold apart, other hosts may have taken over its parts.
+	tickInterval   = 250 * time.Millisecond
+	stallThreshold = time.Second
 )
 
-// Run follows the list of hosts, and drops what is no longer needed, until ctx ends.
+// Run follows the list of hosts and does the periodic work until ctx ends.
 func (c *Controller) Run(ctx context.Context) error {
 	c.mu.Lock()
-	c.refreshRanks(time.Now())
+	c.refreshOwners(time.Now())
 	c.mu.Unlock()
 	var g errgroup.Group
 	g.Go(func() error {
 		return c.deps.Board.Members.Watch(ctx, func(*blackboard.Members) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.refreshRanks(time.Now())
+			c.refreshOwners(time.Now())
 		})
 	})
-	g.Go(func() error { return c.look(ctx) })
+	g.Go(func() error { return c.runPeriodic(ctx) })
 	return g.Wait()
 }
 
-// look has parts begin anew after this host was held up, and sweeps now and then.
-func (c *Controller) look(ctx context.Context) error {
-	tick := time.NewTicker(lookEvery)
+// runPeriodic resets the parts after a stall of this host, and regularly logs denials and
+// drops unused state.
+func (c *Controller) runPeriodic(ctx context.Context) error {
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	last, swept, reported := time.Now(), time.Now(), time.Now()
 	for {
@@ -144,14 +155,14 @@
 		case <-tick.C:
 		}
 		now := time.Now()
-		if now.Sub(last) > frozenAfter {
-			c.emptyAll(now, "held up")
+		if now.Sub(last) > stallThreshold {
+			c.resetAll(now, "held up")
 		}
-		if now.Sub(reported) >= reportEvery {
-			c.reportAll()
+		if now.Sub(reported) >= reportInterval {
+			c.logAllDenials()
 			reported = now
 		}
-		if now.Sub(swept) > sweepEvery {
+		if now.Sub(swept) > sweepInterval {
 			c.sweep(now)
 			swept = now
 		}
@@ -159,22 +170,23 @@
 	}
 }
 
-// reportAll has owners' decisions of late logged.
-func (c *Controller) reportAll() {
+// logAllDenials logs the denials of all parts since the last report.
+func (c *Controller) logAllDenials() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, p := range c.parts {
-		c.report(name, p)
+		c.logDenials(name, p)
 	}
 }
 
-// sweep drops what is kept of names that are gone, or were not asked for.
+// sweep drops the state of quotas that no longer exist or weren't used for sweepInterval,
+// and of hosts not heard from in that time.
 func (c *Controller) sweep(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, a := range c.callers {
-		if now.Sub(a.usedAt) > sweepEvery {
-			delete(c.callers, name)
+	for name, a := range c.requesters {
+		if now.Sub(a.usedAt) > sweepInterval {
+			delete(c.requesters, name)
 		}
 	}
 	for name := range c.parts {
@@ -182,9 +194,9 @@
 			delete(c.parts, name)
 		}
 	}
-	for id, a := range c.heard {
-		if now.Sub(a.at) > sweepEvery {
-			delete(c.heard, id)
+	for id, a := range c.contacted {
+		if now.Sub(a.at) > sweepInterval {
+			delete(c.contacted, id)
 		}
 	}
 }
--- a/controller/quota/served_test.go
+++ b/controller/quota/served_test.go
@@ -14,31 +14,32 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// Tenants that ask for seven times their usual get their quota, and no more, from many hosts.
+// Tenants that send many times their quota to many hosts get their quota, and no more.
 func TestFloodsAreKeptToTheQuota(t *testing.T) {
 	withFleet(t, 30, []routing.Tenant{large, small}, func(fl *fleet) {
 		go fl.load(rand.New(rand.NewPCG(2, 1)), small.Name, 7*small.Rate, 20*time.Second)
 		fl.load(rand.New(rand.NewPCG(1, 1)), large.Name, 4*large.Rate, 20*time.Second)
-		fl.within(large)
-		fl.within(small)
+		fl.assertWithinQuota(large)
+		fl.assertWithinQuota(small)
 		assert.Check(t, float64(len(fl.granted[large.Name])) >= 0.95*20*large.Rate, "only %d granted", len(fl.granted[large.Name]))
 	})
 }
 
-// A tenant that asks for what it may is served, wherever its callers are: of a large tenant's
-// requests, and of those of many small ones together, less than one in a hundred is refused.
+// Tenants within their quota are served wherever their callers are: at most one percent
+// of the requests of a large tenant, and of those of many small tenants together, is
+// refused.
 func TestTenantsWithinTheirQuotaAreServed(t *testing.T) {
 	for name, fault := range map[string]func(fl *fleet){
 		"no fault":              func(*fleet) {},
 		"a third of hosts gone": func(fl *fleet) { fl.killSome(10) },
 		"callers of one zone": func(fl *fleet) {
-			fl.callersAt = slices.DeleteFunc(slices.Clone(fl.hosts), func(h *host) bool { return h.zone != "a" })
+			fl.entryHosts = slices.DeleteFunc(slices.Clone(fl.hosts), func(h *host) bool { return h.zone != "a" })
 		},
 		"all hosts start anew":   func(fl *fleet) { fl.restartAll() },
-		"every host is replaced": func(fl *fleet) { go fl.roll() },
+		"every host is replaced": func(fl *fleet) { go fl.replaceInTurn() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			tenants := append(manySmall(), large)
+			tenants := append(smallTenants(), large)
 			withFleet(t, 30, tenants, func(fl *fleet) {
 				fault(fl)
 				for i, tenant := range tenants {
@@ -46,17 +47,17 @@
 				}
 				time.Sleep(21 * time.Second)
 				for _, tenant := range tenants {
-					fl.within(tenant)
+					fl.assertWithinQuota(tenant)
 				}
-				fl.servedNearlyAll(large)
-				fl.servedNearlyAll(manySmall()...)
+				fl.assertServed(large)
+				fl.assertServed(smallTenants()...)
 			})
 		})
 	}
 }
 
-// manySmall are small tenants.
-func manySmall() (list []routing.Tenant) {
+// smallTenants returns tenants with the quota of small.
+func smallTenants() (list []routing.Tenant) {
 	for i := range 30 {
 		tenant := small
 		tenant.Name = fmt.Sprint(small.Name, i)
@@ -65,9 +66,8 @@
 	return list
 }
 
-// servedNearlyAll checks that of the requests of some tenants less than one in a hundred was
-// refused.
-func (fl *fleet) servedNearlyAll(tenants ...routing.Tenant) {
+// assertServed checks that at most one percent of the tenants' requests was refused.
+func (fl *fleet) assertServed(tenants ...routing.Tenant) {
 	fl.t.Helper()
 	asked, refused := 0, 0
 	for _, tenant := range tenants {
@@ -78,20 +78,22 @@
 	assert.Check(fl.t, 100*refused <= asked, "%s and others: %d of %d refused", tenants[0].Name, refused, asked)
 }
 
-// The store is out for all: who reaches most others owns parts as before.
+// While the store is unavailable to all hosts, those that reach a majority of the others
+// own parts as before.
 func TestTenantsAreServedWhileTheStoreIsOut(t *testing.T) {
 	withFleet(t, 30, []routing.Tenant{large, small}, func(fl *fleet) {
 		fl.mu.Lock()
-		fl.storeOut = true
+		fl.storeDown = true
 		fl.mu.Unlock()
 		go fl.load(rand.New(rand.NewPCG(2, 1)), small.Name, 0.62*small.Rate, 20*time.Second)
 		fl.load(rand.New(rand.NewPCG(1, 1)), large.Name, 0.62*large.Rate, 20*time.Second)
-		fl.within(large)
-		fl.servedNearlyAll(large, small)
+		fl.assertWithinQuota(large)
+		fl.assertServed(large, small)
 	})
 }
 
-// What was granted to a request that did not run serves another.
+// The grant of a request that didn't run is used for one other request, and expires after
+// returnedTTL.
 func TestReturnedGrantsAreUsedOnce(t *testing.T) {
 	withFleet(t, 3, []routing.Tenant{small}, func(fl *fleet) {
 		c := fl.hosts[0].c
@@ -103,8 +105,8 @@
 		}
 		assert.Equal(t, c.count.owned.Value(), before)
 		c.Return(small.Name)
-		time.Sleep(returnedFor)
-		a := c.callers[small.Name]
+		time.Sleep(returnedTTL)
+		a := c.requesters[small.Name]
 		assert.Check(t, !a.reuse(time.Now()), "a grant counts in the window in which it was given")
 	})
 }
--- a/controller/quota/take.go
+++ b/controller/quota/take.go
@@ -12,44 +12,44 @@
 )
 
 const (
-	// takeTimeout bounds a question to an owner, a round trip within a zone, or longer while
-	// that finds out who is down.
+	// takeTimeout bounds a request to an owner. It covers a round trip within a zone and
+	// the probes that the owner may need to find out which hosts are down.
 	takeTimeout = 200 * time.Millisecond
-	// askAgain is how long a host waits until it asks again whom it could ask before.
-	askAgain = 50 * time.Millisecond
-	// returnedFor is how long the grant of a request that did not run can be used by
-	// another: it counts in the window in which it was granted.
-	returnedFor = 250 * time.Millisecond
-	// maxQuestions bounds the owners that are asked about one request.
-	maxQuestions = 6
+	// retryDelay is the wait before the owners are asked a second time if none decided.
+	retryDelay = 50 * time.Millisecond
+	// returnedTTL is how long the grant of a request that didn't run can be reused: it
+	// counts in the window in which it was given.
+	returnedTTL = 250 * time.Millisecond
+	// maxOwnersAsked bounds the hosts asked about one request.
+	maxOwnersAsked = 6
 )
 
-// caller is what this host knows of a quota as one that asks.
-type caller struct {
+// requester is what this host knows about a quota that it asks an owner about.
+type requester struct {
 	usedAt time.Time
-	// fullUntil is when there is room again, by the owner's word.
-	fullUntil time.Time
-	// returned are when grants were given back that are still unused, oldest first.
+	// deniedUntil is when the quota has room again, according to the owner.
+	deniedUntil time.Time
+	// returned are the times at which unused grants were returned, oldest first.
 	returned []time.Time
 }
 
-// callerOf returns what is known of a quota. The lock is held.
-func (c *Controller) callerOf(name string, now time.Time) *caller {
-	a := c.callers[name]
+// requesterOf returns the requester state of a quota. c.mu must be held.
+func (c *Controller) requesterOf(name string, now time.Time) *requester {
+	a := c.requesters[name]
 	if a == nil {
-		a = new(caller)
-		c.callers[name] = a
+		a = new(requester)
+		c.requesters[name] = a
 	}
 	a.usedAt = now
 	return a
 }
 
-// reuse takes a grant that was given back, if there is one.
-func (a *caller) reuse(now time.Time) bool {
+// reuse takes a returned grant that hasn't expired, if there is one.
+func (a *requester) reuse(now time.Time) bool {
 	for len(a.returned) > 0 {
 		at := a.returned[0]
 		a.returned = a.returned[1:]
-		if now.Sub(at) < returnedFor {
+		if now.Sub(at) < returnedTTL {
 			return true
 		}
 	}
@@ -57,10 +57,10 @@
 	return false
 }
 
-// Refused returns what a request of a tenant is told if it is known already that there is no
-// room, else the zero Result.
+// Refused returns the refusal of a request if an owner's last denial still applies,
+// otherwise the zero Result.
 func (c *Controller) Refused(name string) outcome.Result {
-	wait := c.fullFor(name)
+	wait := c.deniedFor(name)
 	if wait == 0 {
 		return outcome.Result{}
 	}
@@ -68,7 +68,8 @@
 	return c.refusal(name, wait)
 }
 
-// Take counts a request against its tenant's quota. The zero Result means that it is within.
+// Take counts a request against its quota. The zero Result means that the request may
+// run.
 func (c *Controller) Take(ctx context.Context, req quota.Request) outcome.Result {
 	if l, known := c.deps.Limits.Limit(req.Name); !known || l.Rate == 0 {
 		return outcome.Result{}
@@ -85,33 +86,35 @@
 	}
 }
 
-// Decision is what is said of a request.
+// Decision is the result of Acquire.
 type Decision struct {
 	// Granted is set if the request is within the quota.
 	Granted bool
-	// Known is false if no host could tell. Else Wait is how long it takes until there is room.
+	// Known is false if no host could decide. If Known is set and Granted isn't, Wait is
+	// the time until the quota has room.
 	Known bool
 	Wait  time.Duration
 }
 
-// Acquire counts a request against a quota, of which this host may know nothing.
+// Acquire counts a request against a quota, even if this host knows no limit under that
+// name.
 func (c *Controller) Acquire(ctx context.Context, req quota.Request) Decision {
 	name := req.Name
-	if wait := c.fullFor(name); wait > 0 {
+	if wait := c.deniedFor(name); wait > 0 {
 		c.count.denied.Add(1)
 		return Decision{Known: true, Wait: wait}
 	}
 	now := time.Now()
 	c.mu.Lock()
-	reused := c.callerOf(name, now).reuse(now)
+	reused := c.requesterOf(name, now).reuse(now)
 	c.mu.Unlock()
 	if reused {
 		c.count.granted.Add(1)
 		return Decision{Granted: true}
 	}
 	reply := c.askOwners(ctx, req)
-	if reply.Word.Known {
-		c.deps.Limits.Observe(name, reply.Word)
+	if reply.Observed.Known {
+		c.deps.Limits.Observe(name, reply.Observed)
 	}
 	switch reply.Verdict {
 	case granted:
@@ -121,8 +124,8 @@
 		c.count.denied.Add(1)
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		a := c.callerOf(name, time.Now())
-		a.fullUntil = time.Now().Add(reply.Wait)
+		a := c.requesterOf(name, time.Now())
+		a.deniedUntil = time.Now().Add(reply.Wait)
 		return Decision{Known: true, Wait: reply.Wait}
 	default:
 		c.count.unknown.Add(1)
@@ -130,19 +133,20 @@
 	}
 }
 
-// fullFor returns for how long there is no room by the owner's word.
-func (c *Controller) fullFor(name string) time.Duration {
+// deniedFor returns how much longer an owner's last denial applies, or 0 if it doesn't or
+// a returned grant may be reused.
+func (c *Controller) deniedFor(name string) time.Duration {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := c.callers[name]
-	if a == nil || !now.Before(a.fullUntil) || len(a.returned) > 0 {
+	a := c.requesters[name]
+	if a == nil || !now.Before(a.deniedUntil) || len(a.returned) > 0 {
 		return 0
 	}
-	return a.fullUntil.Sub(now)
+	return a.deniedUntil.Sub(now)
 }
 
-// refusal returns what a request beyond the quota is told.
+// refusal returns the refusal of a request that exceeds its quota.
 func (c *Controller) refusal(name string, wait time.Duration) outcome.Result {
 	r := outcome.Refuse(outcome.ReasonOverQuota)
 	r.RetryAfter = wait
@@ -150,7 +154,7 @@
 	return r
 }
 
-// Return gives back what a request took that did not run.
+// Return gives back the grant of a request that didn't run.
 func (c *Controller) Return(name string) {
 	if l, known := c.deps.Limits.Limit(name); !known || l.Rate == 0 {
 		return
@@ -159,29 +163,30 @@
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	a := c.callerOf(name, now)
+	a := c.requesterOf(name, now)
 	a.returned = append(a.returned, now)
 }
 
-// askOwners asks the owner of the zone's part, and if it can not be reached those after it. It
-// does so once more a moment later: right after an owner went down, the next one may still take
-// it for alive.
+// askOwners asks the owner of the zone's part, or its successors if it can't be reached.
+// If none decides, it asks once more after retryDelay: directly after an owner has
+// failed, its successor may still consider it alive.
 func (c *Controller) askOwners(ctx context.Context, req takeRequest) takeReply {
 	reply := c.askOnce(ctx, req)
-	if reply.Verdict != elsewhere || !ctxtime.Sleep(ctx, askAgain) {
+	if reply.Verdict != notOwner || !ctxtime.Sleep(ctx, retryDelay) {
 		return reply
 	}
 	return c.askOnce(ctx, req)
 }
 
-// askOnce asks one owner after the other; elsewhere means that none decided.
+// askOnce asks the owners one after the other. The verdict notOwner means that none
+// decided.
 func (c *Controller) askOnce(ctx context.Context, req takeRequest) takeReply {
 	next := c.owners(req.Name, c.zoneOf(req))
-	asked := make(map[ports.HostID]bool, maxQuestions)
-	for len(next) > 0 && len(asked) < maxQuestions && ctx.Err() == nil {
+	asked := make(map[ports.HostID]bool, maxOwnersAsked)
+	for len(next) > 0 && len(asked) < maxOwnersAsked && ctx.Err() == nil {
 		id := next[0]
 		next = next[1:]
-		if asked[id] || id != c.self && c.avoided(id) {
+		if asked[id] || id != c.self && c.backedOff(id) {
 			continue
 		}
 		asked[id] = true
@@ -193,10 +198,10 @@
 			next = append([]ports.HostID{reply.Owner}, next...)
 		}
 	}
-	return takeReply{Verdict: elsewhere}
+	return takeReply{Verdict: notOwner}
 }
 
-// ask asks one host about one request. A host that does not answer is avoided for a moment.
+// ask asks one host about one request. A host that doesn't reply is put into backoff.
 func (c *Controller) ask(ctx context.Context, id ports.HostID, req takeRequest) takeReply {
 	if id == c.self {
 		return c.decide(ctx, req)
@@ -204,6 +209,6 @@
 	ctx, cancel := context.WithTimeout(ctx, takeTimeout)
 	defer cancel()
 	reply, err := peer.Call[takeReply](ctx, c.deps.Link, id, c.deps.Kind+kindTake, req)
-	c.note(id, err == nil)
+	c.recordReply(id, err == nil)
 	return reply
 }
--- a/controller/quota/tenants.go
+++ b/controller/quota/tenants.go
@@ -5,7 +5,7 @@
 	"github.com/cactusproxy/cactusproxy/policy/quota"
 )
 
-// Tenants are the quotas that tenants have by the configuration on a board.
+// Tenants provides the quotas of tenants from the routing configuration on a board.
 type Tenants struct{ Board *blackboard.Board }
 
 // Limit implements Limits.
@@ -21,7 +21,7 @@
 	return quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}, true
 }
 
-// Observed implements Limits. The configuration alone says what a tenant's quota is.
+// Observed implements Limits. Tenants' quotas are always configured.
 func (Tenants) Observed(string) quota.Word { return quota.Word{} }
 
 // Observe implements Limits.
