--- a/backpressure/backpressure.go
+++ b/backpressure/backpressure.go
@@ -101,16 +101,16 @@
 		log:    log,
 		limits: limits,
 		quotas: quota.New(quota.Deps{
-			Board:     d.Board,
-			Link:      d.Link,
-			Kind:      peer.KindTargetLimit,
-			Limits:    limits,
-			Subject:   quota.SubjectTarget,
-			Zone:      d.Zone,
-			Tolerance: Tolerance,
-			Watched:   d.Watched,
-			Metrics:   d.Metrics,
-			Log:       d.Log,
+			Board:        d.Board,
+			Link:         d.Link,
+			Kind:         peer.KindTargetLimit,
+			Limits:       limits,
+			Subject:      quota.SubjectTarget,
+			Zone:         d.Zone,
+			Tolerance:    Tolerance,
+			StoreWatched: d.Watched,
+			Metrics:      d.Metrics,
+			Log:          d.Log,
 		}),
 		leaving:  newLeavingRuns(),
 		backoffs: newBackoffs(d.Board),
@@ -203,11 +203,11 @@
 	t := g.Target()
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	a := p.quotas.Ask(ctx, policy.Request{
+	a := p.quotas.Acquire(ctx, policy.Request{
 		Name:      string(t.Run()),
 		Zone:      countingZone(t.Zone, p.deps.Board.Members.Load()),
 		Remaining: -1,
-		Observed:  p.limits.Word(string(t.Run())),
+		Observed:  p.limits.Observed(string(t.Run())),
 	})
 	limit, _ := p.limits.Limit(string(t.Run()))
 	switch {
@@ -237,7 +237,7 @@
 		}
 	}
 	if p.limits.RecordSignals(service, t, s) {
-		p.quotas.Tell(string(t.Run()), countingZone(t.Zone, p.deps.Board.Members.Load()))
+		p.quotas.NotifyOwner(string(t.Run()), countingZone(t.Zone, p.deps.Board.Members.Load()))
 	}
 }
 
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -89,8 +89,8 @@
 	return changed || s.Limit.Named && now.Sub(before.at) > refreshAfter
 }
 
-// Hear records what another host knows of a target's limit.
-func (l *limits) Hear(run string, w quota.ObservedLimit) {
+// Observe records what another host knows of a target's limit.
+func (l *limits) Observe(run string, w quota.ObservedLimit) {
 	limit := targetapi.Limit{Named: w.Rate > 0, PerSecond: w.Rate}
 	before, recorded := l.record(ports.RunID(run), limitReport{limit: limit, at: time.Now().Add(-w.Age)})
 	if recorded && before.limit != limit {
@@ -113,8 +113,8 @@
 	return quota.Limit{Rate: l.reports[ports.RunID(run)].rate()}, true
 }
 
-// Word returns what this host knows of a target's limit, to be sent to other hosts.
-func (l *limits) Word(run string) quota.ObservedLimit {
+// Observed returns what this host knows of a target's limit, to be sent to other hosts.
+func (l *limits) Observed(run string) quota.ObservedLimit {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w, known := l.reports[ports.RunID(run)]
--- a/controller/quota/tenants.go
+++ b/controller/quota/tenants.go
@@ -5,7 +5,7 @@
 	"github.com/cactusproxy/cactusproxy/policy/quota"
 )
 
-// Tenants are the quotas that tenants have by the configuration on a board.
+// Tenants provides the quotas of tenants from the routing configuration on a board.
 type Tenants struct{ Board *blackboard.Board }
 
 // Limit implements Limits.
@@ -21,8 +21,8 @@
 	return quota.Limit{Rate: tenant.Rate, Burst: tenant.Burst}, true
 }
 
-// Word implements Limits. The configuration alone says what a tenant's quota is.
-func (Tenants) Word(string) quota.ObservedLimit { return quota.ObservedLimit{} }
+// Observed implements Limits. Tenants' quotas are always configured.
+func (Tenants) Observed(string) quota.ObservedLimit { return quota.ObservedLimit{} }
 
-// Hear implements Limits.
-func (Tenants) Hear(string, quota.ObservedLimit) {}
+// Observe implements Limits.
+func (Tenants) Observe(string, quota.ObservedLimit) {}
--- a/edge/quota.go
+++ b/edge/quota.go
@@ -23,17 +23,17 @@
 // provisionQuota creates the controller that enforces the tenants' quotas.
 func (d *Daemon) provisionQuota() {
 	d.quota = quota.New(quota.Deps{
-		Board:     d.board,
-		Link:      d.node,
-		Kind:      peer.KindQuota,
-		Limits:    quota.Tenants{Board: d.board},
-		Subject:   quota.SubjectTenant,
-		Zone:      d.settings.Host.Zone,
-		Others:    d.otherZones(),
-		Tolerance: d.quotaTolerance(),
-		Watched:   d.watch.Watched,
-		Metrics:   d.metrics,
-		Log:       d.log,
+		Board:        d.board,
+		Link:         d.node,
+		Kind:         peer.KindQuota,
+		Limits:       quota.Tenants{Board: d.board},
+		Subject:      quota.SubjectTenant,
+		Zone:         d.settings.Host.Zone,
+		OtherZones:   d.otherZones(),
+		Tolerance:    d.quotaTolerance(),
+		StoreWatched: d.watch.Watched,
+		Metrics:      d.metrics,
+		Log:          d.log,
 	})
 }
 
