--- a/backpressure/backpressure.go
+++ b/backpressure/backpressure.go
@@ -157,7 +157,7 @@
 
 // unwanted reports whether a target may get nothing at all: it leaves, or rests.
 func (p *Picker) unwanted(service blackboard.ServiceKey, t blackboard.Target) bool {
-	if p.leavers.has(t.Run()) {
+	if p.leavers.has(t.RunID()) {
 		p.markLeaving(service, t)
 		return true
 	}
@@ -198,12 +198,12 @@
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	a := p.asker.Ask(ctx, policy.Request{
-		Name: string(t.Run()),
+		Name: string(t.RunID()),
 		Zone: zoneOf(t.Zone, p.deps.Board.Members.Load()),
 		Left: -1,
-		Word: p.limits.Word(string(t.Run())),
+		Word: p.limits.Word(string(t.RunID())),
 	})
-	limit, _ := p.limits.Limit(string(t.Run()))
+	limit, _ := p.limits.Limit(string(t.RunID()))
 	switch {
 	case a.Granted, !a.Known && limit.Rate == 0:
 		p.count.limited.Add(1)
@@ -219,19 +219,19 @@
 
 // Heard takes in what a target says of itself; it is a pick.Listener.
 func (p *Picker) Heard(service blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
-	if s.Leaving && p.leavers.add(t.Run()) {
-		p.lines.info("target leaving by its own answer", zap.String("target", string(t.Run())), zap.String("service", service.Service))
+	if s.Leaving && p.leavers.add(t.RunID()) {
+		p.lines.info("target leaving by its own answer", zap.String("target", string(t.RunID())), zap.String("service", service.Service))
 		p.markLeaving(service, t)
 	}
 	if s.Rest > 0 {
 		p.count.rests.Add(1)
 		if p.rests.add(service, t, s.Rest) {
-			p.lines.info("target asks for rest", zap.String("target", string(t.Run())), zap.String("service", service.Service),
+			p.lines.info("target asks for rest", zap.String("target", string(t.RunID())), zap.String("service", service.Service),
 				zap.Duration("rest", s.Rest))
 		}
 	}
 	if p.limits.Heard(service, t, s) {
-		p.asker.Tell(string(t.Run()), zoneOf(t.Zone, p.deps.Board.Members.Load()))
+		p.asker.Tell(string(t.RunID()), zoneOf(t.Zone, p.deps.Board.Members.Load()))
 	}
 }
 
@@ -290,7 +290,7 @@
 		return refusal
 	}
 	r := p.refuse(service)
-	r.Why = refusal.Why
+	r.Detail = refusal.Detail
 	return r
 }
 
@@ -343,7 +343,7 @@
 // Release implements pick.Grant. What never left this host does not count.
 func (h *held) Release(r pick.Report) {
 	if h.perSecond > 0 && r.Class == pick.NotSent {
-		h.picker.asker.Return(string(h.Target().Run()))
+		h.picker.asker.Return(string(h.Target().RunID()))
 	}
 	h.Grant.Release(r)
 }
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -78,13 +78,13 @@
 		l.count.named.Add(1)
 	}
 	now := time.Now()
-	before, taken := l.note(t.Run(), word{s.Limit, now, service})
+	before, taken := l.note(t.RunID(), word{s.Limit, now, service})
 	if !taken {
 		return false
 	}
 	changed := before.limit != s.Limit
 	if changed {
-		l.tellChange(t.Run(), before.limit, s.Limit, "answer")
+		l.tellChange(t.RunID(), before.limit, s.Limit, "answer")
 	}
 	return changed || s.Limit.Named && now.Sub(before.at) > tellAfter
 }
--- a/backpressure/rest.go
+++ b/backpressure/rest.go
@@ -42,9 +42,9 @@
 		r.byService[service] = make(map[ports.HostID]rest)
 	}
 	old := r.byService[service][t.ID]
-	resting := old.run == t.Run() && now.Before(old.until)
+	resting := old.run == t.RunID() && now.Before(old.until)
 	if !resting || until.After(old.until) {
-		r.byService[service][t.ID] = rest{t.Run(), until}
+		r.byService[service][t.ID] = rest{t.RunID(), until}
 	}
 	return !resting
 }
@@ -61,7 +61,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := r.byService[service][t.ID]
-	return old.run == t.Run() && time.Now().Before(old.until)
+	return old.run == t.RunID() && time.Now().Before(old.until)
 }
 
 // of returns the targets of a service that are resting, and when the first of them has rested.
@@ -88,5 +88,5 @@
 	i, found := slices.BinarySearchFunc(list, id, func(t blackboard.Target, id ports.HostID) int {
 		return cmp.Compare(t.ID, id)
 	})
-	return found && list[i].Run() != run
+	return found && list[i].RunID() != run
 }
--- a/blackboard/board.go
+++ b/blackboard/board.go
@@ -15,7 +15,7 @@
 	TopicTargets Topic = "targets"
 	TopicStatus  Topic = "status"
 	TopicRoutes  Topic = "routes"
-	TopicConfirm Topic = "confirmation"
+	TopicConfirmation Topic = "confirmation"
 
 	TopicEvacuations Topic = "evacuations"
 )
@@ -55,7 +55,7 @@
 		Routes:  newSection(bus, TopicRoutes, (*routing.Table)(nil)),
 
 		Evacuations:  newSection(bus, TopicEvacuations, &Evacuations{}),
-		Confirmation: newSection(bus, TopicConfirm, Confirmation{}),
+		Confirmation: newSection(bus, TopicConfirmation, Confirmation{}),
 
 		bus: bus,
 	}
--- a/blackboard/views.go
+++ b/blackboard/views.go
@@ -102,8 +102,8 @@
 	ReturnedAt time.Time
 }
 
-// Run returns the name of the target's run.
-func (t Target) Run() ports.RunID { return ports.Run(t.ID, t.Incarnation) }
+// RunID returns the name of the target's run.
+func (t Target) RunID() ports.RunID { return ports.NewRunID(t.ID, t.Incarnation) }
 
 // Targets is the view of all targets by service; each slice is sorted by ID.
 type Targets struct {
@@ -158,7 +158,7 @@
 // has begun since.
 func (t *Targets) WithLeaving(key ServiceKey, run ports.RunID, now time.Time) (*Targets, bool) {
 	list := t.ByService[key]
-	i := slices.IndexFunc(list, func(tg Target) bool { return tg.Run() == run })
+	i := slices.IndexFunc(list, func(tg Target) bool { return tg.RunID() == run })
 	if i < 0 || list[i].Leaving {
 		return t, false
 	}
--- a/calllog/calllog.go
+++ b/calllog/calllog.go
@@ -140,8 +140,8 @@
 	if c.Result.RetryAfter > 0 {
 		f = append(f, zap.Duration("retry_after", c.Result.RetryAfter))
 	}
-	if c.Result.Why != "" {
-		f = append(f, zap.String("why", c.Result.Why))
+	if c.Result.Detail != "" {
+		f = append(f, zap.String("why", c.Result.Detail))
 	}
 	if len(c.Attempts) > 0 {
 		f = append(f, zap.String("attempts", attempts(c.Attempts)))
--- a/controller/quota/fleet_test.go
+++ b/controller/quota/fleet_test.go
@@ -206,7 +206,7 @@
 		}
 		fl.refused[tenant]++
 		if testing.Verbose() {
-			fl.t.Logf("%s refused at %s after %s: %s %s", tenant, h.id, time.Since(fl.began), r.Reason, r.Why)
+			fl.t.Logf("%s refused at %s after %s: %s %s", tenant, h.id, time.Since(fl.began), r.Reason, r.Detail)
 		}
 	}()
 }
--- a/controller/quota/take.go
+++ b/controller/quota/take.go
@@ -80,7 +80,7 @@
 		return c.refusal(req.Name, a.Wait)
 	default:
 		r := outcome.Refuse(outcome.ReasonQuotaUnknown)
-		r.Why = c.deps.Subject + "=" + req.Name
+		r.Detail = c.deps.Subject + "=" + req.Name
 		return r
 	}
 }
@@ -146,7 +146,7 @@
 func (c *Controller) refusal(name string, wait time.Duration) outcome.Result {
 	r := outcome.Refuse(outcome.ReasonOverQuota)
 	r.RetryAfter = wait
-	r.Why = c.deps.Subject + "=" + name
+	r.Detail = c.deps.Subject + "=" + name
 	return r
 }
 
--- a/controller/watch/publish.go
+++ b/controller/watch/publish.go
@@ -141,7 +141,7 @@
 		case t.Draining:
 			word = "target leaving"
 		}
-		c.deps.Log.Info(word, zap.String("target", string(ports.Run(t.ID, t.Incarnation))), zap.String("service", t.Service),
+		c.deps.Log.Info(word, zap.String("target", string(ports.NewRunID(t.ID, t.Incarnation))), zap.String("service", t.Service),
 			zap.Stringer("revision", t.Revision), zap.Duration("hold", ch.Hold), zap.String("from", string(from)))
 	}
 }
--- a/controller/watch/watch_test.go
+++ b/controller/watch/watch_test.go
@@ -225,7 +225,7 @@
 	withFleet(t, 4, func(fl *fleet) {
 		h := fl.hosts[3]
 		h.board.Targets.Update(func(old *blackboard.Targets) (*blackboard.Targets, bool) {
-			return old.WithLeaving(key, ports.Run(targetID(2), 1), time.Now())
+			return old.WithLeaving(key, ports.NewRunID(targetID(2), 1), time.Now())
 		})
 		fl.record.Put(entryOf(7, false))
 		time.Sleep(time.Second)
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -79,7 +79,7 @@
 		a.end(a.class)
 		return a
 	}
-	s.watch.Started(s.grant.Target().Run())
+	s.watch.Started(s.grant.Target().RunID())
 	req := d.newRequest(ctx, c, s.grant.Target())
 	res := d.upstream.RoundTrip(req, s.grant.Target(), upstream.SendOptions{
 		MaxConns: d.connShare(c),
@@ -279,7 +279,7 @@
 	case pick.NotSent:
 		// The target can not be reached: what was in flight on it may have broken
 		// off for that, and not for a request.
-		a.watch.NotReached(a.grant.Target().Run())
+		a.watch.NotReached(a.grant.Target().RunID())
 		a.watch.Close()
 	default:
 		a.watch.Close()
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -147,7 +147,7 @@
 		if g == nil {
 			watch.Close()
 			r := h.settle(refusal.Reason, refusal.RetryAfter)
-			r.Result.Why = refusal.Why
+			r.Result.Detail = refusal.Detail
 			return r
 		}
 		if !c.allowed() {
--- a/edge/explain_test.go
+++ b/edge/explain_test.go
@@ -22,7 +22,7 @@
 	for i, b := range l.logs {
 		logs[i] = strings.NewReader(b.String())
 	}
-	s, err := explain.Request(id, logs...)
+	s, err := explain.Find(id, logs...)
 	assert.NilError(l.t, err)
 	var out strings.Builder
 	assert.NilError(l.t, s.Write(&out))
--- a/edge/provision.go
+++ b/edge/provision.go
@@ -170,7 +170,7 @@
 // markLeaving records that a target announced its shutdown in a response.
 func (d *Daemon) markLeaving(key blackboard.ServiceKey, t blackboard.Target) {
 	d.board.Targets.Update(func(old *blackboard.Targets) (*blackboard.Targets, bool) {
-		return old.WithLeaving(key, t.Run(), time.Now())
+		return old.WithLeaving(key, t.RunID(), time.Now())
 	})
 }
 
--- a/entry/denial_test.go
+++ b/entry/denial_test.go
@@ -62,7 +62,7 @@
 	assert.Equal(t, askNowhere(s).Code, http.StatusNotFound)
 	assert.Equal(t, log.last.ConfigVersion, uint64(2))
 	assert.Equal(t, log.last.Result.Reason, outcome.ReasonNoRoute)
-	assert.Check(t, strings.HasPrefix(log.last.Result.Why, "newest=2 confirmed "), log.last.Result.Why)
+	assert.Check(t, strings.HasPrefix(log.last.Result.Detail, "newest=2 confirmed "), log.last.Result.Detail)
 }
 
 // A host that knows no configuration can not say that a request has no route: another host may
@@ -90,7 +90,7 @@
 		assert.Equal(t, w.Header().Get(outcome.HeaderOutcome), outcome.NotRun.String(), name)
 		assert.Check(t, w.Header().Get("Retry-After") != "", name)
 		assert.Equal(t, log.last.Result.Reason, outcome.ReasonConfigUnconfirmed, name)
-		assert.Check(t, log.last.Result.Why != "", name)
+		assert.Check(t, log.last.Result.Detail != "", name)
 	}
 }
 
--- a/entry/routes.go
+++ b/entry/routes.go
@@ -183,7 +183,7 @@
 	if !k.Allowed() {
 		r = outcome.Refuse(outcome.ReasonConfigUnconfirmed)
 	}
-	r.Why = k.String()
+	r.Detail = k.String()
 	return r
 }
 
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -57,30 +57,30 @@
 	return l, err == nil
 }
 
-// Story is what the logs tell of a request.
-type Story struct {
+// Timeline is what the logs tell of a request.
+type Timeline struct {
 	// Calls are the lines of the request itself, one for each host that had it.
 	Calls []Line
-	// Beliefs are lines of any host about the targets that the request met, its
+	// Context are lines of any host about the targets that the request met, its
 	// host, and the configuration, from the time around it.
-	Beliefs []Line
+	Context []Line
 }
 
 // ErrNotFound says that no log has a line of the request.
 var ErrNotFound = errors.New("no line of this request: it was answered well, or left out to bound the volume (see call_lines_dropped), or the host's log is missing")
 
-// Request looks for a request in logs.
-func Request(id string, logs ...io.Reader) (Story, error) {
+// Find looks for a request in logs.
+func Find(id string, logs ...io.Reader) (Timeline, error) {
 	var all []Line
 	for _, r := range logs {
 		lines, err := read(r)
 		if err != nil {
-			return Story{}, err
+			return Timeline{}, err
 		}
 		all = append(all, lines...)
 	}
 	slices.SortStableFunc(all, func(a, b Line) int { return a.At.Compare(b.At) })
-	var s Story
+	var s Timeline
 	for _, l := range all {
 		if l.Message() == "call" && l.Fields["request"] == id {
 			s.Calls = append(s.Calls, l)
@@ -91,7 +91,7 @@
 	}
 	for _, l := range all {
 		if l.Message() != "call" && s.concerns(l) {
-			s.Beliefs = append(s.Beliefs, l)
+			s.Context = append(s.Context, l)
 		}
 	}
 	return s, nil
@@ -118,7 +118,7 @@
 }
 
 // concerns reports whether a line may have to do with the request.
-func (s *Story) concerns(l Line) bool {
+func (s *Timeline) concerns(l Line) bool {
 	for _, c := range s.Calls {
 		took, _ := time.ParseDuration(c.Fields["took"])
 		arrived := c.At.Add(-took)
@@ -136,8 +136,8 @@
 }
 
 // Write tells the story in order of time.
-func (s *Story) Write(w io.Writer) error {
-	lines := slices.Concat(s.Beliefs, s.Calls)
+func (s *Timeline) Write(w io.Writer) error {
+	lines := slices.Concat(s.Context, s.Calls)
 	slices.SortStableFunc(lines, func(a, b Line) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Fields["host"], b.Fields["host"]))
 	})
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -20,7 +20,7 @@
 `
 
 func TestStoryOfARequestOverHosts(t *testing.T) {
-	s, err := Request("r7", strings.NewReader(hostA), strings.NewReader(hostB))
+	s, err := Find("r7", strings.NewReader(hostA), strings.NewReader(hostB))
 	assert.NilError(t, err)
 	var out strings.Builder
 	assert.NilError(t, s.Write(&out))
@@ -32,6 +32,6 @@
 }
 
 func TestRequestWithoutALine(t *testing.T) {
-	_, err := Request("r9", strings.NewReader(hostA))
+	_, err := Find("r9", strings.NewReader(hostA))
 	assert.Check(t, errors.Is(err, ErrNotFound))
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,7 +60,7 @@
 	for _, list := range u.Board.Targets.Load().ByService {
 		for _, t := range list {
 			listed[t.ID] = true
-			runs[t.Run()] = true
+			runs[t.RunID()] = true
 		}
 	}
 	u.Pools.Retain(func(id ports.HostID) bool { return listed[id] })
--- a/operator/client/explain.go
+++ b/operator/client/explain.go
@@ -18,7 +18,7 @@
 		defer f.Close()
 		logs = append(logs, f)
 	}
-	story, err := explain.Request(a.ID, logs...)
+	story, err := explain.Find(a.ID, logs...)
 	if err != nil {
 		return c.fail(err)
 	}
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -55,8 +55,8 @@
 	// RetryAfter is sent as Retry-After, rounded up to whole seconds. Zero
 	// sends none.
 	RetryAfter time.Duration
-	// Why is what a refusal rested on, for the log.
-	Why string
+	// Detail is what a refusal rested on, for the log.
+	Detail string
 }
 
 // Refuse returns a not-run result with the reason's usual Retry-After.
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -175,7 +175,7 @@
 		return nil, ""
 	}
 	if t.info.Evacuated {
-		invariant.Check(false, invariant.EvacuatedIdle, "%s", t.info.Run())
+		invariant.Check(false, invariant.EvacuatedIdle, "%s", t.info.RunID())
 	}
 	basis := pick.Basis{Cost: cost, Age: t.figures.Age(now), Silent: s.isSilent()}
 	if s.limited(now, t) {
@@ -198,7 +198,7 @@
 func (p *Placer) refuse(r outcome.Reason, why string) outcome.Result {
 	p.count.refused.Add(string(r), 1)
 	res := outcome.Refuse(r)
-	res.Why = why
+	res.Detail = why
 	return res
 }
 
@@ -265,7 +265,7 @@
 		p.count.late.Add(1)
 	}
 	s.mu.Unlock()
-	p.tell(news, s, h.info.Run())
+	p.tell(news, s, h.info.RunID())
 	leaving := r.LeavingHint || r.Class == pick.Leaving
 	if leaving && p.deps.OnLeaving != nil {
 		p.deps.OnLeaving(s.key, h.info)
--- a/placer/probe.go
+++ b/placer/probe.go
@@ -98,7 +98,7 @@
 	if a.reached && !a.other && p.deps.Heard != nil {
 		p.deps.Heard(s.key, info, a.said)
 	}
-	p.tell(s.answered(t, a, time.Since(sent)), s, info.Run())
+	p.tell(s.answered(t, a, time.Since(sent)), s, info.RunID())
 	if !a.reached {
 		p.count.probesFailed.Add(1)
 	}
--- a/placer/restart_test.go
+++ b/placer/restart_test.go
@@ -86,10 +86,10 @@
 	next := l.list(200, false)
 	call.Release(pick.Report{Class: pick.Leaving})
 	assert.Equal(t, len(l.hints), 1)
-	view, changed := l.board.Targets.Load().WithLeaving(restartKey, l.hints[0].Run(), time.Now())
+	view, changed := l.board.Targets.Load().WithLeaving(restartKey, l.hints[0].RunID(), time.Now())
 	assert.Check(t, !changed && !view.ByService[restartKey][0].Leaving)
 	assert.Check(t, next.open(time.Now()))
-	_, changed = l.board.Targets.Load().WithLeaving(restartKey, next.info.Run(), time.Now())
+	_, changed = l.board.Targets.Load().WithLeaving(restartKey, next.info.RunID(), time.Now())
 	assert.Check(t, changed)
 }
 
--- a/policy/suspicion/suspicion_test.go
+++ b/policy/suspicion/suspicion_test.go
@@ -173,7 +173,7 @@
 // each time that it was back.
 func TestCrashesOfOneTargetsRunsCount(t *testing.T) {
 	b := NewTracker(DefaultLimits())
-	first, second := ports.Run("t1", 100), ports.Run("t1", 200)
+	first, second := ports.NewRunID("t1", 100), ports.NewRunID("t1", 200)
 	assert.Equal(t, lose(b, 0, 1, first, false), Suspect)
 	assert.Equal(t, lose(b, 100*time.Millisecond, 1, second, true), Quarantined)
 }
--- a/ports/incarnation.go
+++ b/ports/incarnation.go
@@ -15,8 +15,8 @@
 // the next that has the same name.
 type RunID string
 
-// Run returns the name of a target's run.
-func Run(target HostID, i Incarnation) RunID {
+// NewRunID returns the name of a target's run.
+func NewRunID(target HostID, i Incarnation) RunID {
 	if i == 0 {
 		return RunID(target)
 	}
