--- a/peer/auth_test.go
+++ b/peer/auth_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// Someone on the network records an authentic frame, such as the release of a
-// slot, and sends it again: on the same connection, on a later one, or back to
-// its sender. Each time its counter, nonces or direction no longer fit.
+// An attacker on the network records an authentic frame, such as the release of a slot, and
+// replays it on the same connection, on a later one, or back to its sender. The counter, the
+// nonces or the direction must not match.
 func TestRecordedFrameIsRefused(t *testing.T) {
 	key := []byte("shared")
 	d, acc := hello{From: "a", Nonce: []byte("d1")}, hello{From: "b", Nonce: []byte("a1")}
@@ -63,8 +63,8 @@
 	assert.ErrorIs(t, err, errTag)
 }
 
-// testAuthority returns a maker of certificates for 127.0.0.1 and the pool that
-// trusts them.
+// testAuthority returns a TLS configuration for mutual authentication on 127.0.0.1 that
+// trusts only its own self-signed certificate.
 func testAuthority(t *testing.T) *tls.Config {
 	t.Helper()
 	pub, priv, err := ed25519.GenerateKey(rand.Reader)
@@ -130,7 +130,7 @@
 				return
 			}
 			assert.Assert(t, len(payload) <= limit && len(body) < len(payload))
-			// What was read must survive being written and read again.
+			// A decoded frame must be unchanged after encoding and decoding it again.
 			again := enc.append(nil, h, body, 0)
 			h2, body2, err := dec.split(again[lengthSize:])
 			assert.NilError(t, err)
--- a/peer/batch.go
+++ b/peer/batch.go
@@ -1,29 +1,30 @@
 package peer
 
-// span is one frame of a batch.
-type span struct {
+// frameRange is the position of one frame in the buffer of a batch.
+type frameRange struct {
 	start, end int
 	id         uint64
 }
 
-// batch collects encoded frames until they are written together.
+// batch collects encoded frames that are sent in one write.
 type batch struct {
 	buf    []byte
-	frames []span
+	frames []frameRange
 }
 
-// keepBuffer is the largest buffer that is kept for the next batch. A list of targets
-// that is told to all hosts would otherwise be held once for each of them.
-const keepBuffer = 4 << 10
+// maxRetainedBuffer is the largest buffer that is kept for the next batch, in bytes.
+// Otherwise a large list of targets broadcast to all hosts would be retained once for each
+// of them.
+const maxRetainedBuffer = 4 << 10
 
 func (b *batch) add(enc *frameEncoder, h header, body []byte, tagLen int) {
 	start := len(b.buf)
 	b.buf = enc.append(b.buf, h, body, tagLen)
-	b.frames = append(b.frames, span{start: start, end: len(b.buf), id: h.id})
+	b.frames = append(b.frames, frameRange{start: start, end: len(b.buf), id: h.id})
 }
 
-// full reports whether one more body of this size is over the bounds of a
-// queue. A single frame always fits an empty queue.
+// full reports whether adding a body of this size would exceed the limits of a queue. An
+// empty queue always accepts a frame.
 func (b *batch) full(size int) bool {
 	if len(b.frames) == 0 {
 		return false
@@ -31,8 +32,8 @@
 	return len(b.frames) >= maxQueuedFrames || len(b.buf)+size > maxQueuedBytes
 }
 
-// remove deletes the frames for which drop is true.
-func (b *batch) remove(drop func(span) bool) {
+// remove deletes the frames for which drop returns true.
+func (b *batch) remove(drop func(frameRange) bool) {
 	kept := batch{buf: b.buf[:0], frames: b.frames[:0]}
 	for _, f := range b.frames {
 		if drop(f) {
@@ -40,7 +41,7 @@
 		}
 		start := len(kept.buf)
 		kept.buf = append(kept.buf, b.buf[f.start:f.end]...)
-		kept.frames = append(kept.frames, span{start: start, end: len(kept.buf), id: f.id})
+		kept.frames = append(kept.frames, frameRange{start: start, end: len(kept.buf), id: f.id})
 	}
 	*b = kept
 }
@@ -48,7 +49,7 @@
 func (b *batch) reset() {
 	b.frames = b.frames[:0]
 	b.buf = b.buf[:0]
-	if cap(b.buf) > keepBuffer {
+	if cap(b.buf) > maxRetainedBuffer {
 		b.buf = nil
 	}
 }
--- a/peer/connect.go
+++ b/peer/connect.go
@@ -9,10 +9,10 @@
 	"go.uber.org/zap"
 )
 
-// run connects until there is nothing left to send.
+// run connects and reconnects until there is nothing left to send.
 func (r *remote) run() {
 	for r.ctx.Err() == nil {
-		if r.rest() {
+		if r.stopIfIdle() {
 			return
 		}
 		r.connect()
@@ -20,40 +20,40 @@
 	r.close()
 }
 
-// rest ends the run if there is nothing to send.
-func (r *remote) rest() bool {
+// stopIfIdle clears running and returns true if the queue is empty.
+func (r *remote) stopIfIdle() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.running = len(r.out.frames) > 0
+	r.running = len(r.queue.frames) > 0
 	return !r.running
 }
 
-// connect opens a connection and serves it until it breaks or is unused.
+// connect opens a connection and serves it until it fails or becomes idle.
 func (r *remote) connect() {
 	s, err := r.dial()
 	if err != nil {
 		r.node.count.dialFailed.Add(1)
-		r.node.opts.Log.Debug("peer not reached", zap.String("peer", string(r.id)), zap.Error(err))
-		r.broken(err)
+		r.node.opts.Log.Debug("failed to connect to peer", zap.String("peer", string(r.id)), zap.Error(err))
+		r.connFailed(err)
 		return
 	}
 	r.mu.Lock()
-	r.notBefore = time.Time{}
-	r.downSince = time.Time{}
+	r.nextDialAfter = time.Time{}
+	r.unreachableSince = time.Time{}
 	r.mu.Unlock()
 	start := time.Now()
 	r.node.count.connections.Add(1)
 	err = r.serve(s)
 	r.node.count.connections.Add(-1)
-	if time.Since(start) > steadyAfter {
-		r.wait.Reset()
+	if time.Since(start) > stableAfter {
+		r.backoff.Reset()
 	}
 	if err == nil {
 		return
 	}
 	r.node.count.connBroken.Add(1)
 	r.node.opts.Log.Info("peer connection broken", zap.String("peer", string(r.id)), zap.Error(err))
-	r.broken(err)
+	r.connFailed(err)
 }
 
 func (r *remote) dial() (*session, error) {
@@ -70,7 +70,7 @@
 	tuneConn(raw)
 	stop := context.AfterFunc(ctx, func() { _ = raw.Close() })
 	defer stop()
-	conn, err := r.secure(ctx, raw, addr)
+	conn, err := r.wrapTLS(ctx, raw, addr)
 	if err != nil {
 		return nil, err
 	}
@@ -83,8 +83,8 @@
 	return s, nil
 }
 
-// secure wraps the connection in TLS if the node has it.
-func (r *remote) secure(ctx context.Context, conn net.Conn, addr string) (net.Conn, error) {
+// wrapTLS performs the TLS handshake if the node is configured with TLS.
+func (r *remote) wrapTLS(ctx context.Context, conn net.Conn, addr string) (net.Conn, error) {
 	cfg := r.node.opts.TLS
 	if cfg == nil {
 		return conn, nil
--- a/peer/counters.go
+++ b/peer/counters.go
@@ -6,11 +6,11 @@
 	"github.com/cactusproxy/cactusproxy/metrics"
 )
 
-// counters of one node, served as the map "peer".
+// counters holds the metrics of one node, published as the map "peer".
 type counters struct {
 	framesIn, framesOut *expvar.Int
 	bytesIn, bytesOut   *expvar.Int
-	connections         *expvar.Int // open now, of those this host opened
+	connections         *expvar.Int // open connections that this host initiated
 	dials, dialFailed   *expvar.Int
 	handshakeFailed     *expvar.Int
 	inboundRefused      *expvar.Int
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -14,19 +14,20 @@
 //
 //	length  4 bytes, big endian: size of header and body
 //	header  msgpack array: type, kind, id
-//	body    as the sender gave it
+//	body    bytes of the message, passed through unchanged
 //	tag     32 bytes of HMAC-SHA256, only if the node has a shared key
 //
-// Sender and incarnation are the same for all frames of a connection, so they
-// travel once, in the handshake.
+// The sender and its incarnation are the same for all frames of a connection, so they are
+// sent once, in the handshake.
 const (
 	lengthSize   = 4
 	headerFields = 3
-	// chunkSize bounds what is allocated on the word of a length field alone.
+	// chunkSize bounds the allocation made before the payload arrives, in bytes: a length field
+	// is not trusted on its own.
 	chunkSize = 64 << 10
 )
 
-// frameType tells what a frame is for.
+// frameType is the role of a frame in the protocol.
 type frameType uint8
 
 const (
@@ -35,22 +36,22 @@
 	frameReply
 	// frameError is a reply whose body is the text of the handler's error.
 	frameError
-	// frameConfirm ends the handshake.
+	// frameConfirm completes the handshake.
 	frameConfirm
 )
 
-// header starts each frame.
+// header precedes the body of each frame.
 type header struct {
 	typ  frameType
 	kind Kind
-	// id pairs a reply with its request; it is never used again by the sender
-	// towards the same peer. Notifications have 0.
+	// id matches a reply to its request. A sender never reuses an id towards the same peer.
+	// Notifications have id 0.
 	id uint64
 }
 
 var errFrame = errors.New("malformed peer frame")
 
-// frameEncoder appends frames to a byte slice without allocating.
+// frameEncoder appends frames to a byte slice and reuses its msgpack encoder.
 type frameEncoder struct {
 	w   appendWriter
 	enc *msgpack.Encoder
@@ -62,11 +63,11 @@
 	return e
 }
 
-// append adds a frame with room for a tag of tagSize bytes.
+// append appends a frame to dst, with tagSize zero bytes reserved for the tag.
 func (e *frameEncoder) append(dst []byte, h header, body []byte, tagSize int) []byte {
 	start := len(dst)
 	e.w.b = append(dst, 0, 0, 0, 0)
-	// An appendWriter never fails, so neither does the encoder.
+	// appendWriter never returns an error, so the encoder does not either.
 	_ = e.enc.EncodeArrayLen(headerFields)
 	_ = e.enc.EncodeUint(uint64(h.typ))
 	_ = e.enc.EncodeUint(uint64(h.kind))
@@ -77,7 +78,7 @@
 	return append(out, make([]byte, tagSize)...)
 }
 
-// appendWriter is an io.Writer that appends.
+// appendWriter is an io.Writer that appends to a byte slice.
 type appendWriter struct{ b []byte }
 
 func (w *appendWriter) Write(p []byte) (int, error) {
@@ -85,13 +86,14 @@
 	return len(p), nil
 }
 
-// WriteByte keeps the encoder from wrapping the writer.
+// WriteByte implements io.ByteWriter, without which the msgpack encoder would wrap the
+// writer.
 func (w *appendWriter) WriteByte(c byte) error {
 	w.b = append(w.b, c)
 	return nil
 }
 
-// frameDecoder splits payloads into header and body.
+// frameDecoder splits payloads into header and body and reuses its msgpack decoder.
 type frameDecoder struct {
 	r   bytes.Reader
 	dec *msgpack.Decoder
@@ -103,9 +105,9 @@
 	return d
 }
 
-// split returns the header and the body, which shares the payload's memory. The decoder
-// lets go of the payload: it lives as long as its connection, and would otherwise hold the
-// largest list that came last on each.
+// split returns the header and the body; the body shares the payload's memory. The decoder
+// drops its reference to the payload afterwards: it lives as long as the connection and
+// would otherwise retain the last large message on each.
 func (d *frameDecoder) split(payload []byte) (header, []byte, error) {
 	d.r.Reset(payload)
 	defer d.r.Reset(nil)
@@ -128,15 +130,15 @@
 	return h, payload[len(payload)-d.r.Len():], nil
 }
 
-// readPayload reads a length field and the payload after it. The payload grows
-// as bytes arrive: a length field alone does not make this host allocate.
+// readPayload reads a length field and the payload after it. The buffer grows as bytes
+// arrive, so a length field alone does not cause a large allocation.
 func readPayload(br *bufio.Reader, maxSize int) (prefix [lengthSize]byte, payload []byte, err error) {
 	if _, err := io.ReadFull(br, prefix[:]); err != nil {
 		return prefix, nil, err
 	}
 	size := binary.BigEndian.Uint32(prefix[:])
 	if uint64(size) > uint64(maxSize) {
-		return prefix, nil, errors.Wrapf(errFrame, "length %d is over %d", size, maxSize)
+		return prefix, nil, errors.Wrapf(errFrame, "length %d exceeds the limit of %d", size, maxSize)
 	}
 	payload, err = readSized(br, int(size))
 	return prefix, payload, err
@@ -146,17 +148,17 @@
 	if size <= chunkSize {
 		payload := make([]byte, size)
 		_, err := io.ReadFull(br, payload)
-		return payload, unexpected(err)
+		return payload, asUnexpectedEOF(err)
 	}
 	var buf bytes.Buffer
 	buf.Grow(chunkSize)
 	_, err := io.CopyN(&buf, br, int64(size))
-	return buf.Bytes(), unexpected(err)
+	return buf.Bytes(), asUnexpectedEOF(err)
 }
 
-// unexpected turns the end of the stream inside a frame into an error of its
-// own: it is no clean end of the connection.
-func unexpected(err error) error {
+// asUnexpectedEOF turns io.EOF in the middle of a frame into io.ErrUnexpectedEOF, which is
+// not a clean end of the connection.
+func asUnexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
--- a/peer/handshake.go
+++ b/peer/handshake.go
@@ -16,11 +16,11 @@
 
 const (
 	protocolVersion  = 2
-	maxHello         = 1 << 10
+	maxHelloSize     = 1 << 10
 	handshakeTimeout = 3 * time.Second
 )
 
-// hello is the first message of either end of a connection.
+// hello is the first message that each end of a connection sends.
 type hello struct {
 	Version     int    `msgpack:"version"`
 	From        HostID `msgpack:"from"`
@@ -43,21 +43,21 @@
 	return h
 }
 
-// check refuses an end that speaks otherwise or is not who was meant. An
-// address is soon given to another host after a replacement; without the check
-// of To, that host would answer requests meant for the one before it.
+// check rejects a peer with another protocol version or identity. The address of a replaced
+// host is soon reused: without the check of To, its successor would answer requests meant
+// for its predecessor.
 func (h hello) check(mine hello) error {
 	switch {
 	case h.Version != mine.Version:
-		return errors.Newf("peer speaks version %d, not %d", h.Version, mine.Version)
+		return errors.Newf("peer uses protocol version %d, want %d", h.Version, mine.Version)
 	case h.To != mine.From:
-		return errors.Newf("peer wants host %q, this is %q", h.To, mine.From)
+		return errors.Newf("peer addressed host %q, but this is %q", h.To, mine.From)
 	case mine.To != "" && h.From != mine.To:
-		return errors.Newf("host %q answers in place of %q", h.From, mine.To)
+		return errors.Newf("host %q answered, want %q", h.From, mine.To)
 	case h.Keyed != mine.Keyed:
-		return errors.New("only one end has a shared key")
+		return errors.New("only one end is configured with a shared key")
 	case len(h.Nonce) != nonceSize:
-		return errors.New("nonce has a wrong size")
+		return errors.New("nonce has the wrong size")
 	}
 	return nil
 }
@@ -65,16 +65,16 @@
 func (n *Node) newSession(conn net.Conn) *session {
 	_, overTLS := conn.(*tls.Conn)
 	return &session{
-		conn:     conn,
-		br:       bufio.NewReaderSize(conn, readBufferSize),
-		maxFrame: n.opts.MaxFrame,
-		dec:      newFrameDecoder(),
-		count:    &n.count,
-		exact:    !overTLS,
+		conn:            conn,
+		br:              bufio.NewReaderSize(conn, readBufferSize),
+		maxFrame:        n.opts.MaxFrame,
+		dec:             newFrameDecoder(),
+		count:           &n.count,
+		writeCountExact: !overTLS,
 	}
 }
 
-// dialHandshake makes a session of a connection that this host opened.
+// dialHandshake performs the handshake on a connection that this host opened.
 func (n *Node) dialHandshake(conn net.Conn, to HostID) (*session, error) {
 	s := n.newSession(conn)
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
@@ -95,7 +95,7 @@
 	if mine.Keyed {
 		s.send = newFrameMAC(n.opts.Key, fromDialer, mine, theirs)
 		s.recv = newFrameMAC(n.opts.Key, fromAcceptor, mine, theirs)
-		if err := s.checkHello(raw); err != nil {
+		if err := s.verifyHelloTag(raw); err != nil {
 			return nil, err
 		}
 	}
@@ -105,8 +105,8 @@
 	return s, conn.SetDeadline(time.Time{})
 }
 
-// acceptHandshake makes a session of a connection that a peer opened. Nothing
-// the peer sends reaches a handler before its first tag was found right.
+// acceptHandshake performs the handshake on a connection that a peer opened. Nothing that
+// the peer sends reaches a handler before its first tag has been verified.
 func (n *Node) acceptHandshake(ctx context.Context, conn net.Conn) (*session, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, err
@@ -138,20 +138,20 @@
 		return nil, err
 	}
 	if h.typ != frameConfirm {
-		return nil, errors.Wrap(errFrame, "no confirmation")
+		return nil, errors.Wrap(errFrame, "expected a handshake confirmation")
 	}
 	return s, conn.SetDeadline(time.Time{})
 }
 
-// checkHello verifies the tag that follows the acceptor's hello.
-func (s *session) checkHello(raw []byte) error {
+// verifyHelloTag verifies the tag that follows the acceptor's hello.
+func (s *session) verifyHelloTag(raw []byte) error {
 	if _, err := io.ReadFull(s.br, s.tag[:]); err != nil {
-		return unexpected(err)
+		return asUnexpectedEOF(err)
 	}
-	return s.recv.check(nil, raw, s.tag[:])
+	return s.recv.verify(nil, raw, s.tag[:])
 }
 
-// writeHello sends a hello and, with a MAC, its tag.
+// writeHello sends a hello, followed by its tag if m is not nil.
 func writeHello(conn net.Conn, h hello, m *frameMAC) error {
 	body, err := msgpack.Marshal(h)
 	if err != nil {
@@ -160,7 +160,7 @@
 	out := binary.BigEndian.AppendUint32(nil, uint32(len(body)))
 	out = append(out, body...)
 	if m != nil {
-		out = append(out, m.next(body)...)
+		out = append(out, m.nextTag(body)...)
 	}
 	_, err = conn.Write(out)
 	return errors.Wrap(err, "write peer hello")
@@ -168,7 +168,7 @@
 
 func readHello(br *bufio.Reader) (hello, []byte, error) {
 	var h hello
-	_, raw, err := readPayload(br, maxHello)
+	_, raw, err := readPayload(br, maxHelloSize)
 	if err != nil {
 		return h, nil, err
 	}
--- a/peer/inbound.go
+++ b/peer/inbound.go
@@ -12,7 +12,7 @@
 
 var errBusy = errors.New("peer runs too many handlers")
 
-// serveInbound answers the requests of one connection until it ends.
+// serveInbound handles the messages of one inbound connection until it closes.
 func (n *Node) serveInbound(conn net.Conn) {
 	tuneConn(conn)
 	if n.opts.TLS != nil {
@@ -26,11 +26,11 @@
 	if err != nil {
 		_ = conn.Close()
 		n.count.handshakeFailed.Add(1)
-		n.opts.Log.Warn("peer connection refused",
+		n.opts.Log.Warn("peer handshake failed",
 			zap.Stringer("remote", conn.RemoteAddr()), zap.Error(err))
 		return
 	}
-	n.heardFrom(s.peer.From)
+	n.resetBackoff(s.peer.From)
 	in := newInbound(n, s)
 	done := make(chan struct{})
 	go func() {
@@ -41,7 +41,7 @@
 	cancel()
 	_ = conn.Close()
 	<-done
-	n.opts.Log.Debug("peer connection ended",
+	n.opts.Log.Debug("peer connection closed",
 		zap.String("from", string(s.peer.From)), zap.Uint64("incarnation", s.peer.Incarnation), zap.Error(err))
 }
 
@@ -74,13 +74,13 @@
 			in.start(ctx, h, body)
 		default:
 			in.node.count.frameRefused.Add(1)
-			return errors.Wrap(errFrame, "not a request")
+			return errors.Wrap(errFrame, "expected a request or notification")
 		}
 	}
 }
 
-// start runs the handler without holding up the reader: a request that waits
-// for a slot must not hold up the release of that slot behind it.
+// start runs the handler in a goroutine so that it does not block the reader: a request that
+// waits for a slot must not delay the message behind it that releases the slot.
 func (in *inbound) start(ctx context.Context, h header, body []byte) {
 	n := in.node
 	if n.executing.Add(1) > maxHandlers {
@@ -93,7 +93,7 @@
 		defer n.executing.Add(-1)
 		out, err := n.handle(ctx, in.s.peer.From, h.kind, body)
 		if ctx.Err() != nil {
-			return // what a handler says that was ended is no reply
+			return // the handler was canceled; its result is not a valid reply
 		}
 		in.reply(h, out, err)
 	}()
@@ -123,13 +123,15 @@
 		// The peer sends requests and reads no replies. Closing tells it that
 		// none will come; keeping them would cost this host its memory.
 		in.node.count.replyQueueFull.Add(1)
+		// The peer sends requests without reading the replies. Closing the connection fails its
+		// pending calls; keeping the replies would use up this host's memory.
 		_ = in.s.conn.Close()
 		return
 	}
-	wakeUp(in.wake)
+	signal(in.wake)
 }
 
-// write sends replies until the connection ends.
+// write sends replies until the connection closes.
 func (in *inbound) write(ctx context.Context) {
 	var b batch
 	for {
@@ -152,8 +154,8 @@
 	}
 }
 
-// wakeUp tells a writer that its queue is not empty.
-func wakeUp(c chan struct{}) {
+// signal wakes the writer of a queue without blocking.
+func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
--- a/peer/mac.go
+++ b/peer/mac.go
@@ -12,24 +12,23 @@
 const (
 	tagSize   = sha256.Size
 	nonceSize = 32
-	// keyContext keeps session keys apart from other uses of the shared key.
-	keyContext = "cactusproxy peer session 1"
+	// keyDerivationLabel separates session keys from other uses of the shared key.
+	keyDerivationLabel = "cactusproxy peer session 1"
 )
 
-var errTag = errors.New("peer frame is not authentic")
+var errTag = errors.New("peer frame failed authentication")
 
-// Directions of a connection have keys of their own, so that a frame can not be
-// sent back to its sender.
+// Each direction of a connection has its own key, so that a frame can not be reflected to
+// its sender.
 const (
 	fromDialer   = "dialer"
 	fromAcceptor = "acceptor"
 )
 
-// frameMAC authenticates the frames of one direction of one connection. The key
-// holds a nonce of each end and the counter is part of what is authenticated.
-// Without them a recorded frame, such as the release of a slot, could be played
-// again on this or a later connection; with them it fits one position of one
-// connection only.
+// frameMAC authenticates the frames of one direction of one connection. The key is derived
+// from a nonce of each end, and a frame counter is part of the authenticated data. A
+// recorded frame, such as the release of a slot, therefore can not be replayed on this or a
+// later connection.
 type frameMAC struct {
 	h       hash.Hash
 	counter uint64
@@ -39,7 +38,7 @@
 func newFrameMAC(key []byte, direction string, dialer, acceptor hello) *frameMAC {
 	derive := hmac.New(sha256.New, key)
 	for _, part := range [][]byte{
-		[]byte(keyContext), []byte(direction),
+		[]byte(keyDerivationLabel), []byte(direction),
 		dialer.Nonce, acceptor.Nonce,
 		[]byte(dialer.From), []byte(acceptor.From),
 	} {
@@ -54,9 +53,9 @@
 	}
 }
 
-// next returns the tag of the next frame, given in parts. It is overwritten by
-// the following call.
-func (m *frameMAC) next(parts ...[]byte) []byte {
+// nextTag returns the tag of the next frame, whose data is given in parts. The result is
+// valid until the following call.
+func (m *frameMAC) nextTag(parts ...[]byte) []byte {
 	var count [8]byte
 	binary.BigEndian.PutUint64(count[:], m.counter)
 	m.counter++
@@ -69,15 +68,15 @@
 	return m.sum
 }
 
-// seal fills in the tag at the end of an encoded frame.
+// seal writes the tag into the last tagSize bytes of an encoded frame.
 func (m *frameMAC) seal(frame []byte) {
 	data := frame[:len(frame)-tagSize]
-	copy(frame[len(data):], m.next(data))
+	copy(frame[len(data):], m.nextTag(data))
 }
 
-// check compares the tag of a received frame in constant time.
-func (m *frameMAC) check(prefix, payload, tag []byte) error {
-	if !hmac.Equal(m.next(prefix, payload), tag) {
+// verify compares the tag of a received frame in constant time.
+func (m *frameMAC) verify(prefix, payload, tag []byte) error {
+	if !hmac.Equal(m.nextTag(prefix, payload), tag) {
 		return errTag
 	}
 	return nil
--- a/peer/node.go
+++ b/peer/node.go
@@ -17,25 +17,24 @@
 )
 
 const (
-	// DefaultMaxFrame is the largest frame in bytes unless Options say
-	// otherwise: room for a configuration of 490 services.
+	// DefaultMaxFrame is the largest frame, in bytes, unless Options.MaxFrame is set. It has
+	// room for a configuration of 490 services.
 	DefaultMaxFrame = 16 << 20
 
-	maxQueuedFrames = 8192
-	maxQueuedBytes  = 32 << 20
-	maxInbound      = 1024
-	maxHandlers     = 8192
-	dialTimeout     = time.Second
-	writeTimeout    = 5 * time.Second
-	unackedTimeout  = 5 * time.Second
-	idleTimeout     = time.Minute
-	retireLinger    = 5 * time.Second
-	acceptRetry     = 50 * time.Millisecond
-	firstBackoff    = 20 * time.Millisecond
-	maxBackoff      = time.Second
-	// steadyAfter is how long a connection has to last before the wait for the
-	// next one starts small again.
-	steadyAfter = time.Second
+	maxQueuedFrames   = 8192
+	maxQueuedBytes    = 32 << 20
+	maxInbound        = 1024
+	maxHandlers       = 8192
+	dialTimeout       = time.Second
+	writeTimeout      = 5 * time.Second
+	unackedTimeout    = 5 * time.Second
+	idleTimeout       = time.Minute
+	retireGracePeriod = 5 * time.Second
+	acceptRetryDelay  = 50 * time.Millisecond
+	initialBackoff    = 20 * time.Millisecond
+	maxBackoff        = time.Second
+	// stableAfter is how long a connection must last before the reconnect backoff is reset.
+	stableAfter = time.Second
 )
 
 var keepAlive = net.KeepAliveConfig{
@@ -45,22 +44,22 @@
 	Count:    3,
 }
 
-// Options of a Node. Without TLS and Key anyone who reaches the listener is
-// taken for an entry host: that is for loopback only.
+// Options configures a Node. Without TLS and Key, anyone who can reach the listener is
+// accepted as an entry host; use that on loopback only.
 type Options struct {
+	// Self is the identity of this host.
 	Self HostID
-	// Incarnation of this run of the daemon.
+	// Incarnation identifies this run of the daemon.
 	Incarnation uint64
-	// Listener takes connections from peers; the node closes it.
+	// Listener accepts connections from peers. The node closes it.
 	Listener net.Listener
-	// TLS, if set, is used for both directions; it should demand and verify
-	// the certificate of the other end.
+	// TLS, if set, is used for connections in both directions. It should require and verify the
+	// certificate of the other end.
 	TLS *tls.Config
-	// Key, if set, is shared by all entry hosts and authenticates each frame.
-	// It hides nothing.
+	// Key, if set, is a secret shared by all entry hosts that authenticates each frame. Frames
+	// are not encrypted by it.
 	Key []byte
-	// MaxFrame is the largest frame in bytes, either way; 0 is
-	// DefaultMaxFrame.
+	// MaxFrame is the largest frame to send or receive, in bytes; 0 means DefaultMaxFrame.
 	MaxFrame int
 	// Dial opens connections; nil dials TCP.
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
@@ -68,12 +67,13 @@
 	Metrics *metrics.Set
 }
 
-// Node is a Link over TCP. For each peer it opens one connection, which carries
-// its requests and notifications one way and the replies the other; the peer
-// opens its own for what it sends. A connection is opened by the first message
-// and closed when unused for a minute. Handlers run in goroutines of their own,
-// in no particular order; their context ends with the connection, and they do
-// not learn when a caller stops waiting.
+// Node implements Link over TCP. It opens at most one connection to each peer, which carries
+// its requests and notifications to the peer and the replies back; the peer opens its own
+// connection for the messages it sends. A connection is opened by the first message and
+// closed after a minute without use.
+//
+// Each handler runs in its own goroutine, so messages are handled in no particular order.
+// Its context ends with the connection; a handler is not told when the caller stops waiting.
 type Node struct {
 	opts  Options
 	count counters
@@ -92,7 +92,7 @@
 
 var _ Link = (*Node)(nil)
 
-// NewNode returns a node that knows no peers. Close releases it.
+// NewNode returns a node without peers. Call Close to release it.
 func NewNode(opts Options) *Node {
 	if opts.MaxFrame == 0 {
 		opts.MaxFrame = DefaultMaxFrame
@@ -116,19 +116,19 @@
 	return n
 }
 
-// Self returns the identity that peers see.
+// Self returns the identity of this host as its peers see it.
 func (n *Node) Self() HostID { return n.opts.Self }
 
-// Stats are totals since the node was made, but for Connections.
+// Stats holds totals since the node was created, and the current number of connections.
 type Stats struct {
-	// BytesSent counts frames with their tags, not the headers of TCP and IP.
+	// BytesSent counts frames with their authentication tags, without TCP and IP headers.
 	BytesSent  int64
 	FramesSent int64
-	// Connections that this host opened and that are open now.
+	// Connections is the number of open connections that this host initiated.
 	Connections int64
 }
 
-// Stats returns the node's traffic so far.
+// Stats returns the traffic totals of the node.
 func (n *Node) Stats() Stats {
 	return Stats{
 		BytesSent:   n.count.bytesOut.Value(),
@@ -146,9 +146,9 @@
 	n.handlers.Store(&next)
 }
 
-// SetPeers replaces the peers and their addresses; this host itself and hosts
-// without a peer address are passed over. Replies that a removed peer owes are
-// waited for a few seconds more.
+// SetPeers replaces the set of peers and their addresses. This host itself and hosts without
+// a peer address are skipped. Calls to a removed peer that are still in flight get a few
+// seconds to finish.
 func (n *Node) SetPeers(hosts []ports.Host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -176,7 +176,7 @@
 	}
 }
 
-// start runs a remote that has something to send.
+// start runs the connection loop of a remote that has frames to send.
 func (n *Node) start(r *remote) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -191,8 +191,8 @@
 	}()
 }
 
-// Serve takes connections until ctx ends, then closes the node. It returns an
-// error only if the listener was closed by someone else.
+// Serve accepts connections until ctx ends and then closes the node. It returns an error
+// only if the listener was closed by someone else.
 func (n *Node) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, n.Close)
 	defer stop()
@@ -200,25 +200,25 @@
 	for {
 		conn, err := n.opts.Listener.Accept()
 		if n.ctx.Err() != nil {
-			closeIf(conn)
+			closeConn(conn)
 			return nil
 		}
 		if errors.Is(err, net.ErrClosed) {
 			return errors.Wrap(err, "accept peer connection")
 		}
 		if err != nil {
-			// Out of file descriptors, for one: that passes, and a daemon that
-			// ended over it would cut off its callers.
+			// Errors such as running out of file descriptors are transient. Returning here would
+			// stop the daemon and drop its callers.
 			n.count.acceptFailed.Add(1)
-			n.opts.Log.Warn("peer connection not accepted", zap.Error(err))
-			time.Sleep(acceptRetry)
+			n.opts.Log.Warn("failed to accept peer connection", zap.Error(err))
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		n.acceptConn(conn)
 	}
 }
 
-func closeIf(conn net.Conn) {
+func closeConn(conn net.Conn) {
 	if conn != nil {
 		_ = conn.Close()
 	}
@@ -242,8 +242,8 @@
 	}()
 }
 
-// Close ends all connections and waits for their goroutines, but not for
-// handlers that still run. Requests in flight end with ErrNoReply.
+// Close closes all connections and waits for their goroutines, but not for handlers that are
+// still running. Requests in flight fail with ErrNoReply.
 func (n *Node) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -255,11 +255,11 @@
 	n.wg.Wait()
 }
 
-// Call sends a request and waits for the reply. A peer that can not be reached
-// at the moment gives ErrNotSent at once, so that the caller can do without.
+// Call sends a request and waits for the reply. If the peer is currently unreachable, it
+// fails with ErrNotSent at once so that the caller can fall back.
 func (n *Node) Call(ctx context.Context, to HostID, kind Kind, body []byte) ([]byte, error) {
 	if err := ctx.Err(); err != nil {
-		return nil, failed(ErrNotSent, err)
+		return nil, newCallError(ErrNotSent, err)
 	}
 	if to == n.opts.Self {
 		return n.callSelf(ctx, kind, body)
@@ -267,12 +267,12 @@
 	r := (*n.remotes.Load())[to]
 	if r == nil {
 		n.count.unknownPeer.Add(1)
-		return nil, errNoPeer
+		return nil, errUnknownPeer
 	}
 	return r.call(ctx, kind, body)
 }
 
-// Notify sends a message without a reply.
+// Notify sends a message that has no reply.
 func (n *Node) Notify(to HostID, kind Kind, body []byte) bool {
 	if to == n.opts.Self {
 		own := append([]byte(nil), body...)
@@ -290,7 +290,7 @@
 func (n *Node) callSelf(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
 	out, err := n.handle(ctx, n.opts.Self, kind, append([]byte(nil), body...))
 	if err != nil {
-		return nil, failed(ErrRemote, err)
+		return nil, newCallError(ErrRemote, err)
 	}
 	return out, nil
 }
--- a/peer/node_test.go
+++ b/peer/node_test.go
@@ -17,7 +17,7 @@
 
 const kindEcho = KindMembership + 50
 
-// newTestNode returns a serving node; change may alter its options.
+// newTestNode returns a serving node; change, if not nil, modifies its options.
 func newTestNode(t testing.TB, id HostID, change func(*Options)) *Node {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,21 +42,21 @@
 	return n
 }
 
-func hostOf(n *Node) ports.Host {
+func hostEntry(n *Node) ports.Host {
 	return ports.Host{ID: n.Self(), PeerAddr: n.opts.Listener.Addr().String()}
 }
 
-// newTestPair returns two nodes that know each other.
+// newTestPair returns two nodes that are each other's peer.
 func newTestPair(t testing.TB, changeA, changeB func(*Options)) (a, b *Node) {
 	t.Helper()
 	a, b = newTestNode(t, "a", changeA), newTestNode(t, "b", changeB)
-	both := []ports.Host{hostOf(a), hostOf(b)}
+	both := []ports.Host{hostEntry(a), hostEntry(b)}
 	a.SetPeers(both)
 	b.SetPeers(both)
 	return a, b
 }
 
-func TestCallsFindTheirOwnReplies(t *testing.T) {
+func TestRepliesMatchTheirCalls(t *testing.T) {
 	a, b := newTestPair(t, nil, nil)
 	var wg sync.WaitGroup
 	for i := range 200 {
@@ -100,10 +100,9 @@
 	assert.ErrorIs(t, err, ErrRemote, "the reply is one frame too large")
 }
 
-// The caller gets ErrNotSent for each message that can not leave: the peer is
-// unknown, nobody listens at its address, or the body is over the largest
-// frame. After the failed attempt the next call does not wait for another.
-func TestWhatCanNotLeaveIsNotSent(t *testing.T) {
+// A call that can not be sent must return ErrNotSent: the peer is unknown, nobody listens at
+// its address, or the body exceeds the largest frame.
+func TestUnsendableCallReturnsErrNotSent(t *testing.T) {
 	a, b := newTestPair(t, func(o *Options) { o.MaxFrame = 1 << 10 }, nil)
 	_, err := a.Call(t.Context(), "nobody", kindEcho, nil)
 	assert.ErrorIs(t, err, ErrNotSent)
@@ -114,17 +113,16 @@
 	assert.ErrorIs(t, err, ErrNotSent)
 }
 
-// A daemon restarts, at another address or at its own. Calls to it fail while
-// it is away; the new address, or its own first message, ends the wait for the
-// next attempt at once.
+// A daemon restarts, at another address or at its own, and calls to it fail meanwhile. Its
+// new address, or a connection from it, must end the backoff at once.
 func TestRestartedPeerIsReachedAtOnce(t *testing.T) {
 	a, b := newTestPair(t, nil, nil)
 	b.Close()
 	_, err := a.Call(t.Context(), "b", kindEcho, nil)
 	assert.ErrorIs(t, err, ErrNotSent)
 	again := newTestNode(t, "b", nil)
-	again.SetPeers([]ports.Host{hostOf(a)})
-	a.SetPeers([]ports.Host{hostOf(again)})
+	again.SetPeers([]ports.Host{hostEntry(a)})
+	a.SetPeers([]ports.Host{hostEntry(again)})
 	_, err = a.Call(t.Context(), "b", kindEcho, nil)
 	assert.NilError(t, err)
 
@@ -133,21 +131,19 @@
 	assert.Check(t, err != nil)
 	third := newTestNode(t, "b", func(o *Options) {
 		_ = o.Listener.Close()
-		o.Listener, err = net.Listen("tcp", hostOf(again).PeerAddr)
+		o.Listener, err = net.Listen("tcp", hostEntry(again).PeerAddr)
 		assert.NilError(t, err)
 	})
-	third.SetPeers([]ports.Host{hostOf(a)})
+	third.SetPeers([]ports.Host{hostEntry(a)})
 	_, err = third.Call(t.Context(), "a", kindEcho, nil)
 	assert.NilError(t, err)
 	_, err = a.Call(t.Context(), "b", kindEcho, nil)
 	assert.NilError(t, err)
 }
 
-// The peer stops while its handler runs: the request has arrived and the reply
-// will never come, so the caller has to be told that it may have run.
-// A peer ends, and later one listens at its address again. Whoever sends to it all the
-// time can tell for how long it was away.
-func TestUnreachablePeerIsTold(t *testing.T) {
+// A peer stops, and later a new one listens at its address. UnreachableFor must be positive
+// while the peer is down and 0 again afterwards.
+func TestUnreachableForMeasuresOutage(t *testing.T) {
 	a, b := newTestPair(t, nil, nil)
 	_, err := a.Call(t.Context(), "b", kindEcho, nil)
 	assert.NilError(t, err)
@@ -171,6 +167,8 @@
 	assert.Equal(t, a.UnreachableFor("unknown"), time.Duration(0))
 }
 
+// A peer stops while its handler runs. The request has arrived and no reply will come, so
+// the caller must learn that the request may have been handled.
 func TestPeerThatStopsMidCallGivesNoReply(t *testing.T) {
 	a, b := newTestPair(t, nil, nil)
 	b.Handle(kindEcho+1, func(ctx context.Context, _ HostID, _ []byte) ([]byte, error) {
@@ -182,16 +180,16 @@
 	assert.ErrorIs(t, err, ErrNoReply)
 }
 
-// The caller gives up while the connection is still being made. Its request
-// sits in the queue, is taken out of it, and the peer never sees it, although
-// the frame behind it is delivered once the connection stands.
+// The caller's context ends while the connection is being opened. The request must be
+// removed from the queue and never reach the peer, while the frame queued behind it is
+// delivered.
 func TestAbandonedCallIsNeverSent(t *testing.T) {
-	dialing, goOn := make(chan struct{}), make(chan struct{})
+	dialing, proceed := make(chan struct{}), make(chan struct{})
 	a, b := newTestPair(t, func(o *Options) {
 		o.Dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			close(dialing)
 			select {
-			case <-goOn:
+			case <-proceed:
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
@@ -208,14 +206,14 @@
 	_, err := a.Call(ctx, "b", kindEcho+1, []byte("abandoned"))
 	assert.ErrorIs(t, err, ErrNotSent)
 	assert.Check(t, a.Notify("b", kindEcho+1, []byte("behind it")))
-	close(goOn)
+	close(proceed)
 	assert.Equal(t, <-got, "behind it")
 	b.Close()
 	assert.Equal(t, len(got), 0)
 }
 
-// failingConn breaks on the first write after the handshake, having sent the
-// given number of bytes.
+// failingConn fails the first write after the handshake, having sent the given number of
+// bytes.
 type failingConn struct {
 	net.Conn
 	writes int
@@ -231,8 +229,8 @@
 	return n, errors.New("connection lost")
 }
 
-// The connection breaks in the write that carries the request. If no byte of
-// it left, the caller may try elsewhere; if one did, it may not be told so.
+// The connection fails during the write of the request. Only if no byte of it was sent may
+// the caller get ErrNotSent and try another host.
 func TestBrokenWriteTellsWhetherBytesLeft(t *testing.T) {
 	for after, want := range map[int]error{0: ErrNotSent, 3: ErrNoReply} {
 		a, _ := newTestPair(t, func(o *Options) {
@@ -246,12 +244,11 @@
 	}
 }
 
-// A host is replaced and its successor gets the same address. A request meant
-// for the old one must not be answered by the new one, which knows nothing of
-// what the old one held.
+// A host is replaced and its successor gets the same address. The successor must not answer
+// requests meant for its predecessor, whose state it does not have.
 func TestSuccessorAtTheSameAddressDoesNotAnswer(t *testing.T) {
 	a, b := newTestPair(t, nil, nil)
-	old := hostOf(b)
+	old := hostEntry(b)
 	old.ID = "old"
 	a.SetPeers([]ports.Host{old})
 	_, err := a.Call(t.Context(), "old", kindEcho, nil)
@@ -287,9 +284,8 @@
 	}
 }
 
-// A host is stopped while it waits for the TLS handshake of a peer that says nothing. Its
-// process must end as it was told to, and not by a fault: the end of the handshake and that
-// of the node close the same connection at the same moment.
+// A node is closed during the TLS handshake with a silent peer. The end of the handshake and
+// Close both close the connection at the same time, which must not crash the process.
 func TestStopDuringAHandshake(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/peer/packed.go
+++ b/peer/packed.go
@@ -6,63 +6,64 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Packed is a part of a message that travels compressed if it is large.
+// Packed is a field of a message that is compressed on the wire if it is large.
 //
-// Lists of routes and targets are much alike and compress well; sent as they are, they hold up
+// Lists of routes and targets are repetitive and compress well; uncompressed they delay
 // heartbeats on slow links (TestListsShrinkWhenPacked).
 type Packed[T any] struct {
 	Value T
-	// Encoded is the value as it travels, if it was encoded before; see PackOnce.
+	// Encoded is the wire form of Value if PackOnce has encoded it already, else nil.
 	Encoded []byte
 }
 
-// Pack returns a value to be sent compressed.
+// Pack returns v as a field that is compressed when it is sent.
 func Pack[T any](v T) Packed[T] { return Packed[T]{Value: v} }
 
-// PackOnce is Pack for a value that is sent to many: it is encoded now, and never again.
+// PackOnce is like Pack but encodes v at once, for a value that is sent to many peers.
 func PackOnce[T any](v T) (Packed[T], error) {
 	encoded, err := encodePacked(v)
 	return Packed[T]{Value: v, Encoded: encoded}, err
 }
 
 const (
-	// packFrom is the size in bytes from which compressing pays: below it the time is
-	// worth more than the bytes.
-	packFrom = 1 << 10
-	// packWindow is how far back the encoder looks for what is alike, in bytes. It costs
-	// some times as much memory once the first large message is sent.
-	packWindow = 128 << 10
-	// maxUnpacked bounds what a message may grow to, in bytes: 15,000 targets are 2 MB, a
-	// configuration of 490 services with 100 routes each 10 MB.
-	maxUnpacked = 64 << 20
+	// compressThreshold is the encoded size, in bytes, from which a value is compressed. For
+	// smaller values the CPU time costs more than the bytes saved.
+	compressThreshold = 1 << 10
+	// compressWindow is the zstd window, in bytes. The encoder allocates a multiple of it with
+	// the first large message.
+	compressWindow = 128 << 10
+	// maxDecompressed bounds a decompressed value, in bytes. A list of 15,000 targets takes 2
+	// MB, a configuration of 490 services with 100 routes each takes 10 MB.
+	maxDecompressed = 64 << 20
 )
 
-// Marks of what follows in a packed value.
+// Formats of a packed value, sent as its first byte.
 const (
-	markPlain = iota
-	markZstd
+	formatPlain = iota
+	formatZstd
 )
 
-// The codecs hold nothing of a message; making one costs more than most messages. They are
-// made with the process, since their channels may not belong to one test's clock.
+// The codecs keep no state between messages, and creating one costs more than encoding most
+// messages. They are created at package initialization because a channel made inside a
+// synctest bubble can not be used outside of it.
 var (
-	packer   = newPacker()
-	unpacker = newUnpacker()
+	zstdEncoder = newZstdEncoder()
+	zstdDecoder = newZstdDecoder()
 )
 
-func newPacker() *zstd.Encoder {
-	z, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(packWindow))
+func newZstdEncoder() *zstd.Encoder {
+	z, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(compressWindow))
 	if err != nil {
-		panic(errors.Wrap(err, "make encoder")) // the options are constants
+		panic(errors.Wrap(err, "create zstd encoder")) // the options are constants
 	}
-	z.EncodeAll(nil, nil) // the encoder makes its channel at its first use
+	z.EncodeAll(nil, nil) // the encoder creates its channel on first use
 	return z
 }
 
-func newUnpacker() *zstd.Decoder {
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpacked))
+func newZstdDecoder() *zstd.Decoder {
+	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxDecompressed))
 	if err != nil {
-		panic(errors.Wrap(err, "make decoder")) // the options are constants
+		panic(errors.Wrap(err, "create zstd decoder")) // the options are constants
 	}
 	return z
 }
@@ -84,10 +85,10 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode packed part")
 	}
-	if len(raw) < packFrom {
-		return append([]byte{markPlain}, raw...), nil
+	if len(raw) < compressThreshold {
+		return append([]byte{formatPlain}, raw...), nil
 	}
-	return packer.EncodeAll(raw, []byte{markZstd}), nil
+	return zstdEncoder.EncodeAll(raw, []byte{formatZstd}), nil
 }
 
 var errPacked = errors.New("malformed packed part")
@@ -101,19 +102,19 @@
 	if len(raw) == 0 {
 		return errPacked
 	}
-	raw, err = unpack(raw[0], raw[1:])
+	raw, err = decompress(raw[0], raw[1:])
 	if err != nil {
 		return err
 	}
 	return errors.Wrap(msgpack.Unmarshal(raw, &p.Value), "decode packed part")
 }
 
-func unpack(mark byte, raw []byte) ([]byte, error) {
-	switch mark {
-	case markPlain:
+func decompress(format byte, raw []byte) ([]byte, error) {
+	switch format {
+	case formatPlain:
 		return raw, nil
-	case markZstd:
-		raw, err := unpacker.DecodeAll(raw, nil)
+	case formatZstd:
+		raw, err := zstdDecoder.DecodeAll(raw, nil)
 		return raw, errors.Wrap(err, "unpack")
 	default:
 		return nil, errPacked
--- a/peer/packed_test.go
+++ b/peer/packed_test.go
@@ -9,16 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-type entryForTest struct {
+type testEntry struct {
 	ID, Service, Addr, Zone string
 	Revision                uint64
 }
 
-func entriesForTest(n int) []entryForTest {
+func testEntries(n int) []testEntry {
 	rng := rand.New(rand.NewPCG(1, 1))
-	list := make([]entryForTest, n)
+	list := make([]testEntry, n)
 	for i := range list {
-		list[i] = entryForTest{
+		list[i] = testEntry{
 			ID: fmt.Sprintf("i-%010x", rng.Uint64()>>24), Service: fmt.Sprintf("svc%d", rng.IntN(8)),
 			Addr: fmt.Sprintf("10.%d.64.%d:8783", rng.IntN(4), rng.IntN(250)), Zone: "z", Revision: uint64(i),
 		}
@@ -26,12 +26,12 @@
 	return list
 }
 
-func TestPackedComesBack(t *testing.T) {
+func TestPackedRoundTrip(t *testing.T) {
 	for _, n := range []int{0, 1, 5, 3000} {
-		want := Pack(entriesForTest(n))
+		want := Pack(testEntries(n))
 		raw, err := msgpack.Marshal(want)
 		assert.NilError(t, err)
-		var got Packed[[]entryForTest]
+		var got Packed[[]testEntry]
 		assert.NilError(t, msgpack.Unmarshal(raw, &got))
 		assert.Equal(t, len(got.Value), n)
 		if n > 0 {
@@ -40,9 +40,9 @@
 	}
 }
 
-// 1,000 targets are 77 kB, and 15 kB packed.
+// A list of 1,000 targets takes 77 kB plain and 15 kB compressed.
 func TestListsShrinkWhenPacked(t *testing.T) {
-	list := entriesForTest(1000)
+	list := testEntries(1000)
 	plain, err := msgpack.Marshal(list)
 	assert.NilError(t, err)
 	packed, err := msgpack.Marshal(Pack(list))
@@ -51,30 +51,29 @@
 	assert.Check(t, len(packed) < len(plain)/4)
 }
 
-// A message that was damaged, or that would grow without bound, is an error and nothing
-// else.
+// A corrupt value, or one that would exceed the decompression limit, must return an error.
 func TestBadPackedPartsAreRefused(t *testing.T) {
-	huge := append([]byte{markZstd}, packer.EncodeAll(make([]byte, 2*maxUnpacked), nil)...)
-	for _, body := range [][]byte{{}, {7}, {markZstd, 1, 2, 3}, {markPlain, 0xc1}, huge} {
+	huge := append([]byte{formatZstd}, zstdEncoder.EncodeAll(make([]byte, 2*maxDecompressed), nil)...)
+	for _, body := range [][]byte{{}, {7}, {formatZstd, 1, 2, 3}, {formatPlain, 0xc1}, huge} {
 		raw, err := msgpack.Marshal(body)
 		assert.NilError(t, err)
-		var got Packed[[]entryForTest]
+		var got Packed[[]testEntry]
 		assert.Check(t, msgpack.Unmarshal(raw, &got) != nil)
 	}
 }
 
 func FuzzUnpack(f *testing.F) {
-	raw, err := msgpack.Marshal(Pack(entriesForTest(50)))
+	raw, err := msgpack.Marshal(Pack(testEntries(50)))
 	assert.NilError(f, err)
 	f.Add(raw)
 	f.Fuzz(func(_ *testing.T, raw []byte) {
-		var got Packed[[]entryForTest]
+		var got Packed[[]testEntry]
 		_ = msgpack.Unmarshal(raw, &got)
 	})
 }
 
 func BenchmarkPack3000Targets(b *testing.B) {
-	list := Pack(entriesForTest(3000))
+	list := Pack(testEntries(3000))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := msgpack.Marshal(list); err != nil {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,6 +1,10 @@
-// Package peer carries messages between entry hosts: msgpack bodies in framed
-// TCP connections. Link is what the rest of the program sees; Node implements
-// it over TCP, and internal/fakes/peernet in memory for tests.
+// Package peer is the RPC transport between entry hosts. Messages are msgpack bodies in
+// length-prefixed frames over TCP, optionally with TLS and with an HMAC on each frame.
+//
+// Link is the interface that other packages use: it sends requests and notifications and
+// dispatches incoming messages to a handler by their Kind. Node implements Link over TCP;
+// internal/fakes/peernet implements it in memory for tests. The generic functions Call,
+// Notify and Handle encode and decode the bodies.
 package peer
 
 import (
@@ -12,24 +16,24 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// HostID names an entry host.
+// HostID identifies an entry host.
 type HostID = ports.HostID
 
-// ErrNotSent says that no byte of the request left for the peer.
+// ErrNotSent means that no byte of the request was sent, so the peer can not have handled
+// it.
 var ErrNotSent = errors.New("peer request not sent")
 
-// ErrNoReply says that the request may have arrived, but no reply came.
+// ErrNoReply means that the request may have reached the peer, but no reply was received.
 var ErrNoReply = errors.New("no reply from peer")
 
-// ErrRemote says that the peer's handler returned an error. The peer did
-// receive the request.
+// ErrRemote means that the peer received the request and its handler returned an error.
 var ErrRemote = errors.New("peer returned an error")
 
-// Kind tells what a message is; it selects the handler at the other end.
+// Kind is the type of a message; it selects the handler on the receiving host.
 type Kind uint16
 
-// Ranges of kinds: each package that speaks to its own kind on other hosts
-// counts up from its base.
+// Base values of the message kinds. Each package numbers its own kinds upwards from its
+// base.
 const (
 	KindMembership Kind = 100 * (iota + 1)
 	KindConfig
@@ -43,27 +47,27 @@
 	KindTargetLimit
 )
 
-// Handler answers a message. The body belongs to the handler; an error is
-// reported to a caller as ErrRemote and dropped for a notification.
+// Handler handles a message and returns the body of the reply. The handler owns body. An
+// error reaches the caller of a request as ErrRemote; for a notification it is dropped.
 type Handler func(ctx context.Context, from HostID, body []byte) ([]byte, error)
 
-// Link sends messages to other entry hosts and hands incoming ones to the
-// registered handlers. All methods are safe for concurrent use.
+// Link sends messages to other entry hosts and dispatches incoming ones to the registered
+// handlers. All methods are safe for concurrent use.
 type Link interface {
-	// Self is the identity that peers see.
+	// Self returns the identity of this host as its peers see it.
 	Self() HostID
-	// Call sends a request and waits for its reply until ctx ends. The error
-	// is ErrNotSent, ErrNoReply or ErrRemote (test with errors.Is).
+	// Call sends a request and waits for the reply until ctx ends. The error matches ErrNotSent,
+	// ErrNoReply or ErrRemote under errors.Is.
 	Call(ctx context.Context, to HostID, kind Kind, body []byte) ([]byte, error)
-	// Notify sends a message without a reply. It never blocks; false means that
-	// it was dropped because the peer is unknown or its queue is full. True is
-	// no promise of delivery.
+	// Notify sends a message that has no reply. It never blocks. False means that the message
+	// was dropped because the peer is unknown, unreachable or its queue is full; true does not
+	// guarantee delivery.
 	Notify(to HostID, kind Kind, body []byte) bool
-	// Handle registers the handler of a kind, before the link starts to serve.
+	// Handle registers the handler of a kind. It must be called before the link starts to serve.
 	Handle(kind Kind, h Handler)
 }
 
-// Call sends a typed request and decodes the typed reply.
+// Call encodes and sends a request and decodes the reply.
 func Call[Resp, Req any](ctx context.Context, l Link, to HostID, kind Kind, req Req) (Resp, error) {
 	var resp Resp
 	body, err := msgpack.Marshal(req)
@@ -80,7 +84,8 @@
 	return resp, nil
 }
 
-// Notify sends a typed message without a reply.
+// Notify encodes and sends a message that has no reply. It returns false also if the message
+// can not be encoded.
 func Notify[Msg any](l Link, to HostID, kind Kind, msg Msg) bool {
 	body, err := msgpack.Marshal(msg)
 	if err != nil {
@@ -89,8 +94,8 @@
 	return l.Notify(to, kind, body)
 }
 
-// Handle registers a typed handler. A body that can not be decoded is an error
-// of the sender and never reaches fn.
+// Handle registers a handler that takes and returns decoded values. A body that can not be
+// decoded is returned to the sender as an error and does not reach fn.
 func Handle[Req, Resp any](l Link, kind Kind, fn func(ctx context.Context, from HostID, req Req) (Resp, error)) {
 	l.Handle(kind, func(ctx context.Context, from HostID, body []byte) ([]byte, error) {
 		var req Req
--- a/peer/remote.go
+++ b/peer/remote.go
@@ -9,23 +9,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// What stops a message before any byte of it left.
+// Reasons why a message was dropped before any byte of it was sent.
 var (
-	errNoPeer     = failed(ErrNotSent, errors.New("peer is not known"))
-	errBackingOff = failed(ErrNotSent, errors.New("peer can not be reached at the moment"))
-	errQueueFull  = failed(ErrNotSent, errors.New("queue to peer is full"))
-	errTooLarge   = failed(ErrNotSent, errors.New("message is over the largest frame"))
-	errBrokeFirst = failed(ErrNotSent, errors.New("connection broke before the request"))
+	errUnknownPeer = newCallError(ErrNotSent, errors.New("peer is not known"))
+	errBackingOff  = newCallError(ErrNotSent, errors.New("peer can not be reached at the moment"))
+	errQueueFull   = newCallError(ErrNotSent, errors.New("queue to peer is full"))
+	errTooLarge    = newCallError(ErrNotSent, errors.New("message is over the largest frame"))
+	errConnLost    = newCallError(ErrNotSent, errors.New("connection broke before the request"))
 )
 
-// maxHeader is the most that a header takes: an array of three unsigned
-// integers with their marks.
+// maxHeader is the largest encoded header, in bytes: a msgpack array of three unsigned
+// integers with their type bytes.
 const maxHeader = 1 + 2 + 3 + 9
 
-// maxBody is the largest body that fits a frame.
+// maxBody returns the largest body that fits into a frame, in bytes.
 func (n *Node) maxBody() int { return n.opts.MaxFrame - maxHeader }
 
-// tagLen is the room left for the tag of each frame.
+// tagLen returns the size of the tag of each frame, in bytes; 0 without a shared key.
 func (n *Node) tagLen() int {
 	if len(n.opts.Key) == 0 {
 		return 0
@@ -33,56 +33,57 @@
 	return tagSize
 }
 
-// result ends a call.
+// result is the outcome of a call.
 type result struct {
 	body []byte
 	err  error
 }
 
-// call is a request that has no reply yet.
+// call is a request that is waiting for its reply.
 type call struct {
-	sent bool // the writer has taken the frame
+	sent bool // the writer has taken the frame from the queue
 	done chan result
 }
 
-var calls = sync.Pool{New: func() any { return &call{done: make(chan result, 1)} }}
+var callPool = sync.Pool{New: func() any { return &call{done: make(chan result, 1)} }}
 
-// remote is what a node keeps for one peer: the queue of frames, the calls
-// without a reply, and at most one connection. One goroutine runs it while there is anything
-// to send: most hosts send to few of the others, and hundreds of idle stacks are megabytes.
+// remote is the sending side of a node for one peer: the queue of frames, the pending calls
+// and at most one connection. Its goroutine runs only while there is something to send. Most
+// hosts send to few of the others, and hundreds of idle goroutine stacks would take
+// megabytes.
 type remote struct {
-	node *Node
-	id   HostID
-	ctx  context.Context
-	stop context.CancelFunc
-	wake chan struct{}
-	wait *backoff.ExponentialBackOff
+	node    *Node
+	id      HostID
+	ctx     context.Context
+	stop    context.CancelFunc
+	wake    chan struct{}
+	backoff *backoff.ExponentialBackOff
 
 	mu   sync.Mutex
 	addr string
-	// running is set while a goroutine runs the remote.
+	// running is set while a goroutine serves the remote.
 	running bool
 	enc     *frameEncoder
-	out     batch
+	queue   batch
 	pending map[uint64]*call
 	lastID  uint64
-	// notBefore is the earliest time of the next attempt to connect.
-	notBefore time.Time
-	// downSince is when the connection broke or could not be opened, if none could be
-	// opened since.
-	downSince time.Time
-	closed    bool
+	// nextDialAfter is the earliest time of the next connection attempt.
+	nextDialAfter time.Time
+	// unreachableSince is when the connection was lost or could not be opened; zero once a
+	// connection has been opened again.
+	unreachableSince time.Time
+	closed           bool
 }
 
 func newRemote(n *Node, id HostID) *remote {
 	r := &remote{
-		node: n,
-		id:   id,
-		wake: make(chan struct{}, 1),
-		wait: backoff.NewExponentialBackOff(),
+		node:    n,
+		id:      id,
+		wake:    make(chan struct{}, 1),
+		backoff: backoff.NewExponentialBackOff(),
 	}
-	r.wait.InitialInterval = firstBackoff
-	r.wait.MaxInterval = maxBackoff
+	r.backoff.InitialInterval = initialBackoff
+	r.backoff.MaxInterval = maxBackoff
 	r.ctx, r.stop = context.WithCancel(n.ctx)
 	return r
 }
@@ -92,24 +93,25 @@
 	defer r.mu.Unlock()
 	if r.addr != addr {
 		r.addr = addr
-		r.notBefore = time.Time{}
+		r.nextDialAfter = time.Time{}
 	}
 }
 
-// heardFrom ends the wait for the next attempt to connect to a peer that has
-// just connected here: it is back.
-func (n *Node) heardFrom(id HostID) {
+// resetBackoff allows a connection attempt to a peer at once, because the peer has just
+// connected to this host.
+func (n *Node) resetBackoff(id HostID) {
 	r := (*n.remotes.Load())[id]
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.notBefore = time.Time{}
+	r.nextDialAfter = time.Time{}
 }
 
-// UnreachableFor returns for how long no connection to a peer could be opened; 0 if the
-// last try succeeded. It says something only while messages are sent there all the time.
+// UnreachableFor returns for how long no connection to a peer could be opened, or 0 if the
+// last attempt succeeded. It is meaningful only while messages are sent to the peer
+// continuously.
 func (n *Node) UnreachableFor(id HostID) time.Duration {
 	r := (*n.remotes.Load())[id]
 	if r == nil {
@@ -117,35 +119,35 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.downSince.IsZero() {
+	if r.unreachableSince.IsZero() {
 		return 0
 	}
-	return time.Since(r.downSince)
+	return time.Since(r.unreachableSince)
 }
 
-// retire ends the remote after the replies that are owed had time to come.
-func (r *remote) retire() { time.AfterFunc(retireLinger, r.stop) }
+// retire closes the remote after a grace period for pending replies.
+func (r *remote) retire() { time.AfterFunc(retireGracePeriod, r.stop) }
 
 // call sends a request and waits for its reply.
 func (r *remote) call(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
-	c := calls.Get().(*call)
+	c := callPool.Get().(*call)
 	c.sent = false
 	id, err := r.enqueue(frameRequest, kind, body, c)
 	if err != nil {
-		calls.Put(c)
+		callPool.Put(c)
 		return nil, err
 	}
 	select {
 	case res := <-c.done:
-		calls.Put(c)
+		callPool.Put(c)
 		return res.body, res.err
 	case <-ctx.Done():
 		return r.abandon(ctx, id, c)
 	}
 }
 
-// abandon ends a call whose caller stops waiting. A frame that the writer has
-// not taken is never written, which is what makes ErrNotSent true.
+// abandon ends a call whose context has ended. A frame that the writer has not taken from
+// the queue is never written, so ErrNotSent is accurate.
 func (r *remote) abandon(ctx context.Context, id uint64, c *call) ([]byte, error) {
 	r.mu.Lock()
 	_, waiting := r.pending[id]
@@ -153,15 +155,15 @@
 	r.mu.Unlock()
 	if !waiting {
 		res := <-c.done
-		calls.Put(c)
+		callPool.Put(c)
 		return res.body, res.err
 	}
 	kind := ErrNotSent
 	if c.sent {
 		kind = ErrNoReply
 	}
-	calls.Put(c)
-	return nil, failed(kind, ctx.Err())
+	callPool.Put(c)
+	return nil, newCallError(kind, ctx.Err())
 }
 
 func (r *remote) notify(kind Kind, body []byte) error {
@@ -177,27 +179,27 @@
 	}
 	r.mu.Lock()
 	id, err := r.enqueueLocked(typ, kind, body, c)
-	starts := err == nil && !r.running
-	r.running = r.running || starts
+	startRun := err == nil && !r.running
+	r.running = r.running || startRun
 	r.mu.Unlock()
-	if starts {
+	if startRun {
 		r.node.start(r)
 	}
 	if err == nil {
-		wakeUp(r.wake)
+		signal(r.wake)
 	}
 	return id, err
 }
 
 func (r *remote) enqueueLocked(typ frameType, kind Kind, body []byte, c *call) (uint64, error) {
 	if r.closed || r.ctx.Err() != nil {
-		return 0, errNoPeer
+		return 0, errUnknownPeer
 	}
-	if !r.notBefore.IsZero() && time.Now().Before(r.notBefore) {
+	if !r.nextDialAfter.IsZero() && time.Now().Before(r.nextDialAfter) {
 		r.node.count.backingOff.Add(1)
 		return 0, errBackingOff
 	}
-	if r.out.full(len(body)) {
+	if r.queue.full(len(body)) {
 		r.node.count.queueFull.Add(1)
 		return 0, errQueueFull
 	}
@@ -210,12 +212,11 @@
 		id = r.lastID
 		r.pending[id] = c
 	}
-	r.out.add(r.enc, header{typ: typ, kind: kind, id: id}, body, r.node.tagLen())
+	r.queue.add(r.enc, header{typ: typ, kind: kind, id: id}, body, r.node.tagLen())
 	return id, nil
 }
 
-// serve writes the queue and reads replies. It returns nil if the connection
-// was unused for a while.
+// serve writes the queue and reads replies. It returns nil if the connection was idle.
 func (r *remote) serve(s *session) error {
 	stop := context.AfterFunc(r.ctx, func() { _ = s.conn.Close() })
 	defer stop()
@@ -229,15 +230,15 @@
 	return err
 }
 
-// writeQueue runs until the connection ends; reading tells whether the reader
-// still runs.
+// writeQueue writes frames until the connection ends. The result reading tells whether the
+// reader is still running.
 func (r *remote) writeQueue(s *session, read <-chan error) (err error, reading bool) {
 	idle := time.NewTicker(idleTimeout)
 	defer idle.Stop()
 	used := true
 	var b batch
 	for {
-		if r.take(&b) {
+		if r.takeQueue(&b) {
 			used = true
 			if n, err := s.writeBatch(&b); err != nil {
 				r.failUnsent(&b, n)
@@ -260,19 +261,19 @@
 	}
 }
 
-// waiting reports whether a call has no reply yet.
+// waiting reports whether any call has no reply yet.
 func (r *remote) waiting() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.pending) > 0
 }
 
-// take moves the queue into b, without the frames of calls that were given up,
-// and reports whether there is anything to write.
-func (r *remote) take(b *batch) bool {
+// takeQueue moves the queue into b, drops the frames of abandoned calls, and reports whether
+// there is anything to write.
+func (r *remote) takeQueue(b *batch) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	*b, r.out = r.out, *b
+	*b, r.queue = r.queue, *b
 	abandoned := false
 	for _, f := range b.frames {
 		if f.id == 0 {
@@ -285,7 +286,7 @@
 		}
 	}
 	if abandoned {
-		b.remove(func(f span) bool { return f.id != 0 && r.pending[f.id] == nil })
+		b.remove(func(f frameRange) bool { return f.id != 0 && r.pending[f.id] == nil })
 	}
 	return len(b.frames) > 0
 }
@@ -300,15 +301,15 @@
 		case frameReply:
 			r.finish(h.id, result{body: body})
 		case frameError:
-			r.finish(h.id, result{err: failed(ErrRemote, remoteText(body))})
+			r.finish(h.id, result{err: newCallError(ErrRemote, remoteError(body))})
 		default:
 			r.node.count.frameRefused.Add(1)
-			return errors.Wrap(errFrame, "not a reply")
+			return errors.Wrap(errFrame, "expected a reply")
 		}
 	}
 }
 
-// finish ends a call. A reply to a call that was given up is dropped.
+// finish completes a call. A reply to an abandoned call is dropped.
 func (r *remote) finish(id uint64, res result) {
 	r.mu.Lock()
 	c := r.pending[id]
@@ -321,25 +322,25 @@
 	c.done <- res
 }
 
-// failUnsent ends the calls of a broken write that begin past the n bytes that
-// left.
+// failUnsent fails the calls of a partial write whose frames start after the n bytes
+// written.
 func (r *remote) failUnsent(b *batch, n int) {
 	for _, f := range b.frames {
 		if f.id != 0 && f.start >= n {
-			r.finish(f.id, result{err: errBrokeFirst})
+			r.finish(f.id, result{err: errConnLost})
 		}
 	}
 }
 
-// broken ends all calls after the connection was lost or not made, and puts off
-// the next attempt. Calls that come before it get ErrNotSent at once in place
-// of waiting for a host that is probably gone.
-func (r *remote) broken(cause error) {
+// connFailed fails all calls after the connection was lost or could not be opened, and
+// delays the next attempt. Until then, calls fail with ErrNotSent at once instead of waiting
+// for a host that is probably down.
+func (r *remote) connFailed(cause error) {
 	now := time.Now()
 	r.mu.Lock()
-	r.notBefore = now.Add(r.wait.NextBackOff())
-	if r.downSince.IsZero() {
-		r.downSince = now
+	r.nextDialAfter = now.Add(r.backoff.NextBackOff())
+	if r.unreachableSince.IsZero() {
+		r.unreachableSince = now
 	}
 	r.mu.Unlock()
 	r.failAll(cause)
@@ -347,16 +348,16 @@
 
 func (r *remote) failAll(cause error) {
 	r.mu.Lock()
-	lost := r.pending
+	failedCalls := r.pending
 	r.pending = make(map[uint64]*call)
-	r.out.reset()
+	r.queue.reset()
 	r.mu.Unlock()
-	for _, c := range lost {
+	for _, c := range failedCalls {
 		kind := ErrNotSent
 		if c.sent {
 			kind = ErrNoReply
 		}
-		c.done <- result{err: failed(kind, cause)}
+		c.done <- result{err: newCallError(kind, cause)}
 	}
 }
 
--- a/peer/session.go
+++ b/peer/session.go
@@ -9,12 +9,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// readBufferSize holds some heartbeats, in bytes. Each host has a connection with every
-// other at worst; larger frames are read past the buffer.
+// readBufferSize is the size of a connection's read buffer, in bytes. It holds several
+// heartbeats and is small because each host may be connected to every other; larger frames
+// bypass the buffer.
 const readBufferSize = 1 << 10
 
-// session is one connection after its handshake. One goroutine reads and one
-// writes.
+// session is a connection after its handshake. One goroutine reads and one writes.
 type session struct {
 	conn     net.Conn
 	br       *bufio.Reader
@@ -25,12 +25,12 @@
 	dec      *frameDecoder
 	tag      [tagSize]byte
 	count    *counters
-	// exact is set if a failed write tells how many bytes left. TLS does not:
-	// part of an encrypted record may be on its way.
-	exact bool
+	// writeCountExact is set if a failed write reports exactly how many bytes were sent. TLS
+	// does not: part of an encrypted record may already have been sent.
+	writeCountExact bool
 }
 
-// readFrame returns the next frame; the body is the caller's.
+// readFrame returns the next frame. The caller owns the body.
 func (s *session) readFrame() (header, []byte, error) {
 	prefix, payload, err := readPayload(s.br, s.maxFrame)
 	if err != nil {
@@ -38,9 +38,9 @@
 	}
 	if s.recv != nil {
 		if _, err := io.ReadFull(s.br, s.tag[:]); err != nil {
-			return header{}, nil, unexpected(err)
+			return header{}, nil, asUnexpectedEOF(err)
 		}
-		if err := s.recv.check(prefix[:], payload, s.tag[:]); err != nil {
+		if err := s.recv.verify(prefix[:], payload, s.tag[:]); err != nil {
 			return header{}, nil, err
 		}
 	}
@@ -56,8 +56,8 @@
 	return tagSize
 }
 
-// writeBatch sends all frames of a batch in one write. It returns the bytes
-// that may have left.
+// writeBatch sends all frames of a batch in one write. It returns an upper bound of the
+// bytes that were sent.
 func (s *session) writeBatch(b *batch) (int, error) {
 	if s.send != nil {
 		for _, f := range b.frames {
@@ -70,13 +70,13 @@
 	n, err := s.conn.Write(b.buf)
 	s.count.framesOut.Add(int64(len(b.frames)))
 	s.count.bytesOut.Add(int64(n))
-	if err != nil && !s.exact {
+	if err != nil && !s.writeCountExact {
 		return len(b.buf), err
 	}
 	return n, err
 }
 
-// writeFrame sends one frame at once; only the handshake uses it.
+// writeFrame sends a single frame. It is used only by the handshake.
 func (s *session) writeFrame(h header, body []byte) error {
 	var b batch
 	b.add(newFrameEncoder(), h, body, s.tagLen())
--- a/peer/sockopt_linux.go
+++ b/peer/sockopt_linux.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
+// tcpUserTimeout is the socket option TCP_USER_TIMEOUT, which package syscall does not
+// define.
 const tcpUserTimeout = 0x12
 
-// tuneConn lets the kernel give up a connection whose sent bytes stay
-// unacknowledged. Without it a connection to a host that vanished lives for
-// minutes of retransmission, and each call to its replacement at the same
-// address is lost in it.
+// tuneConn enables keep-alive probes and lets the kernel close a connection whose data stays
+// unacknowledged. Without the timeout, a connection to a host that vanished retransmits for
+// minutes, and every call to its replacement at the same address is lost in it.
 func tuneConn(conn net.Conn) {
 	tc, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/peer/sockopt_other.go
+++ b/peer/sockopt_other.go
@@ -4,8 +4,8 @@
 
 import "net"
 
-// tuneConn sets the keep-alive probes; the bound on unacknowledged bytes is the
-// system's own.
+// tuneConn enables keep-alive probes. The timeout of unacknowledged data is the default of
+// the operating system.
 func tuneConn(conn net.Conn) {
 	if tc, ok := conn.(*net.TCPConn); ok {
 		_ = tc.SetKeepAliveConfig(keepAlive)
