--- a/ports/httpstore/client.go
+++ b/ports/httpstore/client.go
@@ -1,7 +1,9 @@
-// Package httpstore reaches the platform's table, object store and list of
-// hosts over HTTP. It tells exactly which writes can not have taken effect, and
-// sends each write once: repeating is for the caller, who knows what a repeat
-// would do.
+// Package httpstore implements the interfaces of package ports over the platform's HTTP API:
+// the table, the object store and the host list.
+//
+// It distinguishes writes that can not have taken effect (ports.ErrUnavailable) from those
+// that may have (ports.ErrUncertain), and sends each write at most once. Retrying is left to
+// the caller, who knows whether a repeated write is safe.
 package httpstore
 
 import (
@@ -21,7 +23,7 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// What a Config stands for where it says nothing.
+// Defaults for the fields of Config that are zero.
 const (
 	DefaultTimeout  = 2 * time.Second
 	DefaultMaxConns = 8
@@ -29,28 +31,28 @@
 
 const (
 	dialTimeout = time.Second
-	// idleTimeout is below the idle timeouts in common use: a write on a
-	// connection that the platform is just closing ends in ErrUncertain.
+	// idleTimeout is shorter than common server idle timeouts: a write sent on a connection that
+	// the platform is closing ends in ErrUncertain.
 	idleTimeout = 5 * time.Second
-	// maxAnswer bounds the bytes read of one answer.
-	maxAnswer = 64 << 20
+	// maxResponseBytes is the largest response body that is read.
+	maxResponseBytes = 64 << 20
 )
 
-// Config says how to reach the platform.
+// Config configures a Client.
 type Config struct {
-	// URL is the base URL, with scheme http or https.
+	// URL is the base URL of the platform, with scheme http or https.
 	URL string
 	// Token is sent as a bearer token unless it is empty.
 	Token string
-	// Timeout bounds each request, waiting for a connection included.
+	// Timeout limits each request, including the wait for a connection; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// MaxConns bounds the connections.
+	// MaxConns limits the number of connections; 0 means DefaultMaxConns.
 	MaxConns int
-	// TLS is used for https; nil stands for the system's defaults.
+	// TLS is used for https; nil means the system's defaults.
 	TLS *tls.Config
 }
 
-// Client reaches the platform. It is safe for concurrent use.
+// Client is a client of the platform's HTTP API. It is safe for concurrent use.
 type Client struct {
 	base      string
 	token     string
@@ -58,7 +60,7 @@
 	transport *http.Transport
 }
 
-// New returns a client; no connection is made yet.
+// New returns a client. It does not connect yet.
 func New(c Config) (*Client, error) {
 	u, err := url.Parse(c.URL)
 	if err != nil {
@@ -81,13 +83,14 @@
 	}, nil
 }
 
-// newTransport speaks HTTP/1 only: there a connection carries one request at a
-// time, so that giving up a request can seal its connection.
+// newTransport returns a transport limited to HTTP/1, where a connection carries one request
+// at a time. Writes to the connection of a canceled request can then be blocked without
+// affecting other requests.
 func newTransport(c Config) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	return &http.Transport{
-		DialContext:         dialer(&net.Dialer{Timeout: dialTimeout}),
+		DialContext:         guardedDial(&net.Dialer{Timeout: dialTimeout}),
 		TLSClientConfig:     c.TLS,
 		Protocols:           protocols,
 		MaxConnsPerHost:     c.MaxConns,
@@ -100,51 +103,50 @@
 // Close closes the idle connections.
 func (c *Client) Close() { c.transport.CloseIdleConnections() }
 
-// request is one exchange with the platform.
+// request is a request to the platform.
 type request struct {
 	method string
 	path   string
 	body   []byte
-	// write marks a request that may leave something behind.
+	// write is set for a request that may change the platform's state.
 	write bool
 }
 
-// onceBody hides the kind of reader from net/http, which would otherwise learn
-// how to make the body anew.
+// unreplayableBody hides the concrete reader type, from which net/http would otherwise
+// derive GetBody.
 //
-// The transport repeats a request by itself if it holds the means to, and a write would be made
-// twice. A POST or PUT whose body can be read only once is never repeated after a byte of it was
-// read.
-type onceBody struct{ io.Reader }
+// With GetBody the transport may retry a request by itself, and a write would be sent twice.
+// A POST or PUT whose body can be read only once is never retried after any of it was read.
+type unreplayableBody struct{ io.Reader }
 
-// Close does nothing: the body is in memory.
-func (onceBody) Close() error { return nil }
+// Close does nothing, because the body is in memory.
+func (unreplayableBody) Close() error { return nil }
 
-// do makes the exchange and returns the body of a 200 answer, or of a 404 as
-// nil. Errors are ErrUnavailable or ErrUncertain.
+// do sends the request and returns the body of a 200 response, or nil for a 404. Errors are
+// marked as ErrUnavailable or ErrUncertain.
 func (c *Client) do(ctx context.Context, r request) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	var s sent
+	var s writeTracker
 	req, err := c.build(s.trace(ctx), r)
 	if err != nil {
 		return nil, errors.Mark(err, ports.ErrUnavailable)
 	}
 	resp, err := c.transport.RoundTrip(req)
 	if err != nil {
-		return nil, failure(err, r.write && !s.nothing())
+		return nil, markError(err, r.write && !s.nothingSent())
 	}
 	defer resp.Body.Close()
 	body, err := readAll(resp.Body)
 	if err != nil {
-		return nil, failure(err, r.write)
+		return nil, markError(err, r.write)
 	}
 	if resp.StatusCode == http.StatusNotFound {
 		return nil, nil
 	}
 	if resp.StatusCode != http.StatusOK {
-		err := errors.Newf("platform answered %d: %.200s", resp.StatusCode, body)
-		return nil, failure(err, r.write && !refused(resp))
+		err := errors.Newf("platform returned status %d: %.200s", resp.StatusCode, body)
+		return nil, markError(err, r.write && !provesNotApplied(resp))
 	}
 	return body, nil
 }
@@ -155,7 +157,7 @@
 		return nil, err
 	}
 	if r.body != nil {
-		req.Body = onceBody{bytes.NewReader(r.body)}
+		req.Body = unreplayableBody{bytes.NewReader(r.body)}
 		req.ContentLength = int64(len(r.body))
 		req.Header.Set("Content-Type", "application/json; charset=utf-8")
 	}
@@ -166,19 +168,19 @@
 }
 
 func readAll(r io.Reader) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(r, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(r, maxResponseBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxAnswer {
-		return nil, errors.Newf("answer of more than %d bytes", maxAnswer)
+	if len(body) > maxResponseBytes {
+		return nil, errors.Newf("response exceeds %d bytes", maxResponseBytes)
 	}
 	return body, nil
 }
 
-// refused reports whether an answer proves that the request had no effect: the
-// platform says so, or did not accept the request at all.
-func refused(resp *http.Response) bool {
+// provesNotApplied reports whether an error response guarantees that the request had no
+// effect: the platform says so, or it rejected the request before processing it.
+func provesNotApplied(resp *http.Response) bool {
 	if resp.Header.Get(HeaderNotApplied) == "1" {
 		return true
 	}
@@ -191,15 +193,15 @@
 	}
 }
 
-func failure(err error, uncertain bool) error {
+func markError(err error, uncertain bool) error {
 	if uncertain {
 		return errors.Mark(err, ports.ErrUncertain)
 	}
 	return errors.Mark(err, ports.ErrUnavailable)
 }
 
-// exchange posts a request as JSON and decodes the answer into resp.
-func (c *Client) exchange(ctx context.Context, path string, write bool, req, resp any) error {
+// postJSON posts req as JSON and decodes the response into resp.
+func (c *Client) postJSON(ctx context.Context, path string, write bool, req, resp any) error {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return errors.Mark(err, ports.ErrUnavailable)
@@ -209,7 +211,7 @@
 		return err
 	}
 	if err := json.Unmarshal(raw, resp); err != nil {
-		return failure(errors.Wrap(err, "decode answer"), write)
+		return markError(errors.Wrap(err, "decode platform response"), write)
 	}
 	return nil
 }
--- a/ports/httpstore/conn.go
+++ b/ports/httpstore/conn.go
@@ -10,106 +10,108 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errSealed is the error of a write to a connection whose request was given up.
-var errSealed = errors.New("connection given up")
+// errWritesBlocked is returned by writes to a connection whose request was abandoned.
+var errWritesBlocked = errors.New("write blocked: request was abandoned")
 
-// sealConn counts the writes begun on a connection and can forbid more.
+// guardedConn counts the writes started on a connection and can block further ones.
 //
-// A request may be given up while the transport is about to write it. Sealing and writing take the
-// same lock, so after seal has returned zero no byte of the request can leave any more.
-type sealConn struct {
+// A request may be abandoned while the transport is about to write it. Write and blockWrites
+// take the same lock, so once blockWrites has returned 0, no byte of the request can be
+// sent.
+type guardedConn struct {
 	net.Conn
 
-	mu     sync.Mutex
-	writes int
-	sealed bool
+	mu      sync.Mutex
+	writes  int
+	blocked bool
 }
 
-// Write sends p unless the connection is sealed.
-func (c *sealConn) Write(p []byte) (int, error) {
+// Write sends p unless writes are blocked.
+func (c *guardedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	if c.sealed {
+	if c.blocked {
 		c.mu.Unlock()
-		return 0, errSealed
+		return 0, errWritesBlocked
 	}
 	c.writes++
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
 
-func (c *sealConn) begun() int {
+func (c *guardedConn) writesStarted() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal forbids further writes and returns the number of those begun.
-func (c *sealConn) seal() int {
+// blockWrites blocks further writes and returns the number of writes started before.
+func (c *guardedConn) blockWrites() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
+	c.blocked = true
 	return c.writes
 }
 
-// sent watches the connections that one request is given.
-type sent struct {
+// writeTracker records the connections that the transport assigns to one request.
+type writeTracker struct {
 	mu    sync.Mutex
-	conns []usedConn
-	// unknown is set if a connection is not ours and can not be asked.
-	unknown bool
+	conns []trackedConn
+	// untracked is set if the request got a connection that is not a guardedConn.
+	untracked bool
 }
 
-// usedConn is a connection with the writes begun before the request got it.
-type usedConn struct {
-	conn   *sealConn
-	before int
+// trackedConn is a connection and the number of writes started on it before the request got
+// it.
+type trackedConn struct {
+	conn         *guardedConn
+	writesBefore int
 }
 
-// trace returns a context in which the transport tells s of its connections.
-func (s *sent) trace(ctx context.Context) context.Context {
+// trace returns a context that makes the transport report the request's connections to s.
+func (s *writeTracker) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: s.gotConn})
 }
 
-func (s *sent) gotConn(info httptrace.GotConnInfo) {
+func (s *writeTracker) gotConn(info httptrace.GotConnInfo) {
 	c := info.Conn
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sc, ok := c.(*sealConn)
+	sc, ok := c.(*guardedConn)
 	if !ok {
-		s.unknown = true
+		s.untracked = true
 		return
 	}
-	s.conns = append(s.conns, usedConn{conn: sc, before: sc.begun()})
+	s.conns = append(s.conns, trackedConn{conn: sc, writesBefore: sc.writesStarted()})
 }
 
-// nothing seals the connections of a request that failed without an answer, and
-// reports whether no byte of it left. The transport does not use a connection
-// again after such a failure, so sealing it harms no other request.
-func (s *sent) nothing() bool {
+// nothingSent blocks the connections of a request that failed without a response and reports
+// whether no byte of the request was sent. The transport does not reuse a connection after
+// such a failure, so no other request is affected.
+func (s *writeTracker) nothingSent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.unknown {
+	if s.untracked {
 		return false
 	}
 	none := true
 	for _, u := range s.conns {
-		if u.conn.seal() != u.before {
+		if u.conn.blockWrites() != u.writesBefore {
 			none = false
 		}
 	}
 	return none
 }
 
-// dialer returns the transport's way to make connections.
-func dialer(d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
+// guardedDial returns a dial function whose connections are guardedConns.
+func guardedDial(d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return &sealConn{Conn: c}, nil
+		return &guardedConn{Conn: c}, nil
 	}
 }
--- a/ports/httpstore/conn_test.go
+++ b/ports/httpstore/conn_test.go
@@ -9,32 +9,32 @@
 	"gotest.tools/v3/assert"
 )
 
-// A request is given up before the transport wrote it. After that the transport
-// must not be able to write it any more, or "nothing was sent" would be false.
-func TestSealedConnectionSendsNothing(t *testing.T) {
+// A request is abandoned before the transport has written it. Later writes must fail, or the
+// report that nothing was sent would be wrong.
+func TestBlockedConnectionSendsNothing(t *testing.T) {
 	a, b := net.Pipe()
 	defer b.Close()
-	c := &sealConn{Conn: a}
-	var s sent
+	c := &guardedConn{Conn: a}
+	var s writeTracker
 	s.gotConn(httptrace.GotConnInfo{Conn: c})
-	assert.Check(t, s.nothing())
+	assert.Check(t, s.nothingSent())
 	_, err := c.Write([]byte("x"))
-	assert.Check(t, errors.Is(err, errSealed))
+	assert.Check(t, errors.Is(err, errWritesBlocked))
 }
 
-func TestBegunWriteCountsAsSent(t *testing.T) {
+func TestStartedWriteCountsAsSent(t *testing.T) {
 	a, b := net.Pipe()
 	assert.NilError(t, b.Close())
-	c := &sealConn{Conn: a}
-	var s sent
+	c := &guardedConn{Conn: a}
+	var s writeTracker
 	s.gotConn(httptrace.GotConnInfo{Conn: c})
 	_, err := c.Write([]byte("x"))
 	assert.Check(t, err != nil)
-	assert.Check(t, !s.nothing())
+	assert.Check(t, !s.nothingSent())
 }
 
 func TestUnknownConnectionCountsAsSent(t *testing.T) {
-	var s sent
+	var s writeTracker
 	s.gotConn(httptrace.GotConnInfo{})
-	assert.Check(t, !s.nothing())
+	assert.Check(t, !s.nothingSent())
 }
--- a/ports/httpstore/httpstore_test.go
+++ b/ports/httpstore/httpstore_test.go
@@ -26,7 +26,7 @@
 	return ports.Op{Kind: ports.OpInsert, Key: key, Value: []byte("v")}
 }
 
-func client(t *testing.T, c httpstore.Config) *httpstore.Client {
+func newClient(t *testing.T, c httpstore.Config) *httpstore.Client {
 	t.Helper()
 	cl, err := httpstore.New(c)
 	assert.NilError(t, err)
@@ -34,17 +34,17 @@
 	return cl
 }
 
-// start serves the stand-in and returns it with a client of it.
-func start(t *testing.T, token string) (*standin.Server, *httpstore.Client) {
+// startPlatform starts the platform stand-in and returns it with a client for it.
+func startPlatform(t *testing.T, token string) (*standin.Server, *httpstore.Client) {
 	t.Helper()
 	srv := standin.New(standin.Options{Store: store.New(store.Limits{}), Token: token})
 	hs := httptest.NewServer(srv.Handler())
 	t.Cleanup(hs.Close)
-	return srv, client(t, httpstore.Config{URL: hs.URL, Token: token})
+	return srv, newClient(t, httpstore.Config{URL: hs.URL, Token: token})
 }
 
 func TestTableObjectsAndHosts(t *testing.T) {
-	_, c := start(t, "secret")
+	_, c := startPlatform(t, "secret")
 	ctx := context.Background()
 	res, err := c.Table().Commit(ctx, insert("a/1"), insert("a/2"))
 	assert.NilError(t, err)
@@ -82,17 +82,16 @@
 	srv := standin.New(standin.Options{Store: store.New(store.Limits{}), Token: "right"})
 	hs := httptest.NewServer(srv.Handler())
 	defer hs.Close()
-	c := client(t, httpstore.Config{URL: hs.URL, Token: "wrong"})
+	c := newClient(t, httpstore.Config{URL: hs.URL, Token: "wrong"})
 	_, err := c.Table().Commit(context.Background(), insert("a"))
 	assert.Check(t, errors.Is(err, ports.ErrUnavailable))
 	assert.Check(t, !errors.Is(err, ports.ErrUncertain))
 }
 
-// The writer is told "uncertain" when the connection is cut after the write took
-// effect, "unavailable" during an outage that the platform admits; reading back
-// shows the first write alone.
-func TestOutageIsToldFromALostReply(t *testing.T) {
-	srv, c := start(t, "")
+// A connection closed after the write took effect must return ErrUncertain, an outage
+// reported by the platform ErrUnavailable. Reading back must show only the first write.
+func TestOutageDistinguishedFromLostReply(t *testing.T) {
+	srv, c := startPlatform(t, "")
 	ctx := context.Background()
 	srv.SetFaults(standin.Faults{LoseReplies: 1})
 	_, err := c.Table().Commit(ctx, insert("a"))
@@ -116,16 +115,16 @@
 	assert.NilError(t, err)
 	addr := l.Addr().String()
 	assert.NilError(t, l.Close())
-	c := client(t, httpstore.Config{URL: "http://" + addr})
+	c := newClient(t, httpstore.Config{URL: "http://" + addr})
 	_, err = c.Table().Commit(context.Background(), insert("a"))
 	assert.Check(t, errors.Is(err, ports.ErrUnavailable))
 	assert.Check(t, !errors.Is(err, ports.ErrUncertain))
 }
 
-// Two writers share one connection to a platform that never answers. When both
-// give up, the one whose request is on its way must not be told "unavailable",
-// and the one that waited for the connection must: nothing of it was sent.
-func TestGivingUpBeforeAndAfterSending(t *testing.T) {
+// Two writers share one connection to a platform that never responds, and both are canceled.
+// The one whose request was sent must get ErrUncertain; the one that waited for the
+// connection must get ErrUnavailable.
+func TestCancelBeforeAndAfterSending(t *testing.T) {
 	arrived := make(chan struct{}, 2)
 	release := make(chan struct{})
 	hs := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -135,7 +134,7 @@
 	}))
 	defer hs.Close()
 	defer close(release)
-	c := client(t, httpstore.Config{URL: hs.URL, MaxConns: 1})
+	c := newClient(t, httpstore.Config{URL: hs.URL, MaxConns: 1})
 	ctx, cancel := context.WithCancel(context.Background())
 	first := make(chan error, 1)
 	go func() {
@@ -152,44 +151,44 @@
 	assert.Equal(t, len(arrived), 0)
 }
 
-// cutServer answers commits over raw connections and ends each connection at a
-// drawn point. It counts how often each key was applied.
-type cutServer struct {
+// disconnectingServer handles commits on raw connections and closes each connection at a
+// random point. It counts how often each key was applied.
+type disconnectingServer struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
 	applied map[string]int
 }
 
-// Points at which cutServer ends a connection.
+// Points at which disconnectingServer closes a connection.
 const (
-	cutBeforeReading = iota
-	cutAfterReading
-	cutAfterApplying
+	closeBeforeReading = iota
+	closeAfterReading
+	closeAfterApplying
 	answerAndClose
 	answerAndKeep
-	answerAndKeepToo
-	cutPoints
+	answerAndKeepAgain
+	closePoints
 )
 
-func (s *cutServer) draw() int {
+func (s *disconnectingServer) randomPoint() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.rng.IntN(cutPoints)
+	return s.rng.IntN(closePoints)
 }
 
-func (s *cutServer) apply(key string) {
+func (s *disconnectingServer) apply(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.applied[key]++
 }
 
-func (s *cutServer) count(key string) int {
+func (s *disconnectingServer) count(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.applied[key]
 }
 
-func (s *cutServer) serve(l net.Listener) {
+func (s *disconnectingServer) serve(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
@@ -199,12 +198,12 @@
 	}
 }
 
-func (s *cutServer) conn(c net.Conn) {
+func (s *disconnectingServer) conn(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
-		point := s.draw()
-		if point == cutBeforeReading {
+		point := s.randomPoint()
+		if point == closeBeforeReading {
 			return
 		}
 		req, err := http.ReadRequest(r)
@@ -212,12 +211,12 @@
 			return
 		}
 		var commit httpstore.CommitRequest
-		if json.NewDecoder(req.Body).Decode(&commit) != nil || point == cutAfterReading {
+		if json.NewDecoder(req.Body).Decode(&commit) != nil || point == closeAfterReading {
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		s.apply(commit.Ops[0].Key)
-		if point == cutAfterApplying {
+		if point == closeAfterApplying {
 			return
 		}
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 16\r\n\r\n{\"Applied\":true}")
@@ -227,17 +226,16 @@
 	}
 }
 
-// Kept-alive connections end at any moment: before the request is read, after
-// it was read, after it took effect. net/http may repeat requests on such a
-// failure; a commit must reach the platform at most once, and "unavailable" must
-// mean that it took no effect.
+// Keep-alive connections close at any point: before the request is read, after it is read,
+// or after it took effect. net/http may retry requests after such a failure, but a commit
+// must reach the platform at most once, and ErrUnavailable must mean that it had no effect.
 func TestCommitIsSentOnce(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &cutServer{rng: rand.New(rand.NewPCG(1, 2)), applied: make(map[string]int)}
+	s := &disconnectingServer{rng: rand.New(rand.NewPCG(1, 2)), applied: make(map[string]int)}
 	go s.serve(l)
 	defer l.Close()
-	c := client(t, httpstore.Config{URL: "http://" + l.Addr().String(), MaxConns: 4})
+	c := newClient(t, httpstore.Config{URL: "http://" + l.Addr().String(), MaxConns: 4})
 	var wg sync.WaitGroup
 	for w := range 4 {
 		wg.Go(func() {
@@ -248,11 +246,11 @@
 				assert.Check(t, n <= 1, "%s applied %d times", key, n)
 				switch {
 				case err == nil:
-					assert.Check(t, n == 1, "%s answered but not applied", key)
+					assert.Check(t, n == 1, "%s committed but not applied", key)
 				case errors.Is(err, ports.ErrUncertain):
 				default:
 					assert.Check(t, errors.Is(err, ports.ErrUnavailable))
-					assert.Check(t, n == 0, "%s unavailable but applied", key)
+					assert.Check(t, n == 0, "%s returned ErrUnavailable but was applied", key)
 				}
 			}
 		})
--- a/ports/httpstore/ports.go
+++ b/ports/httpstore/ports.go
@@ -18,7 +18,7 @@
 // Objects returns the platform's object store.
 func (c *Client) Objects() ports.ObjectStore { return objects{c} }
 
-// Hosts returns the platform's list of hosts.
+// Hosts returns the platform's host list.
 func (c *Client) Hosts() ports.HostList { return hosts{c} }
 
 type table struct{ c *Client }
@@ -26,11 +26,11 @@
 // Get implements ports.Table.
 func (t table) Get(ctx context.Context, keys ...string) ([]ports.Row, error) {
 	var resp RowsResponse
-	if err := t.c.exchange(ctx, PathGet, false, GetRequest{Keys: keys}, &resp); err != nil {
+	if err := t.c.postJSON(ctx, PathGet, false, GetRequest{Keys: keys}, &resp); err != nil {
 		return nil, err
 	}
 	if len(resp.Rows) != len(keys) {
-		return nil, errors.Wrapf(ports.ErrUnavailable, "%d rows for %d keys", len(resp.Rows), len(keys))
+		return nil, errors.Wrapf(ports.ErrUnavailable, "platform returned %d rows for %d keys", len(resp.Rows), len(keys))
 	}
 	return resp.Rows, nil
 }
@@ -38,14 +38,14 @@
 // Scan implements ports.Table.
 func (t table) Scan(ctx context.Context, prefix, after string, limit int) ([]ports.Row, error) {
 	var resp RowsResponse
-	err := t.c.exchange(ctx, PathScan, false, ScanRequest{Prefix: prefix, After: after, Limit: limit}, &resp)
+	err := t.c.postJSON(ctx, PathScan, false, ScanRequest{Prefix: prefix, After: after, Limit: limit}, &resp)
 	return resp.Rows, err
 }
 
 // Commit implements ports.Table.
 func (t table) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
 	var resp ports.CommitResult
-	if err := t.c.exchange(ctx, PathCommit, true, CommitRequest{Ops: ops}, &resp); err != nil {
+	if err := t.c.postJSON(ctx, PathCommit, true, CommitRequest{Ops: ops}, &resp); err != nil {
 		return ports.CommitResult{}, err
 	}
 	return resp, nil
--- a/ports/httpstore/wire.go
+++ b/ports/httpstore/wire.go
@@ -2,8 +2,8 @@
 
 import "github.com/cactusproxy/cactusproxy/ports"
 
-// Paths of the platform's service. Requests to the table are POST with a JSON
-// body; values of rows are base64 there.
+// Paths of the platform's HTTP API. Table requests are POST with a JSON body, in which row
+// values are base64.
 const (
 	PathGet     = "/v1/table/get"
 	PathScan    = "/v1/table/scan"
@@ -12,33 +12,33 @@
 	PathHosts   = "/v1/hosts"
 )
 
-// HeaderNotApplied is set to 1 by the platform on an answer of status 429 or 500
-// and above that says: the request had no effect and will have none. Without it
-// such an answer to a write leaves open what happened.
+// HeaderNotApplied is set to 1 by the platform on responses with status 429 or 500 and above
+// to guarantee that the request had no effect and will have none. Without it, such a
+// response to a write leaves the result uncertain.
 const HeaderNotApplied = "Platform-Not-Applied"
 
-// QueryKnown is the query parameter of PathHosts with the version that the
-// reader holds.
+// QueryKnown is the query parameter of PathHosts for the version that the reader already
+// has.
 const QueryKnown = "known"
 
-// GetRequest is the body of PathGet.
+// GetRequest is the request body of PathGet.
 type GetRequest struct {
 	Keys []string `json:"keys"`
 }
 
-// ScanRequest is the body of PathScan.
+// ScanRequest is the request body of PathScan.
 type ScanRequest struct {
 	Prefix string `json:"prefix"`
 	After  string `json:"after"`
 	Limit  int    `json:"limit"`
 }
 
-// RowsResponse answers PathGet and PathScan.
+// RowsResponse is the response body of PathGet and PathScan.
 type RowsResponse struct {
 	Rows []ports.Row `json:"rows"`
 }
 
-// CommitRequest is the body of PathCommit; the answer is a
+// CommitRequest is the request body of PathCommit; the response body is a
 // ports.CommitResult.
 type CommitRequest struct {
 	Ops []ports.Op `json:"ops"`
--- a/ports/incarnation.go
+++ b/ports/incarnation.go
@@ -2,20 +2,21 @@
 
 import "strconv"
 
-// Incarnation is one run of a target's process: when it started, in Unix milliseconds, as
-// the target says itself; 0 if it does not. A target may start again under the name that
-// it had, and then knows nothing of before.
+// Incarnation identifies one run of a target's process. It is the start time in Unix
+// milliseconds that the target reports, or 0 if it reports none. A target may restart under
+// the same host ID and then has none of its earlier state.
 type Incarnation int64
 
-// Replaces reports whether a target's word of this incarnation ends all that is known of
-// another one. One that is not told says nothing of which came first.
+// Replaces reports whether a report from this incarnation invalidates what is known of the
+// other one. It returns false if either is unknown (0), since their order can not be told.
 func (i Incarnation) Replaces(old Incarnation) bool { return i != old && i != 0 && old != 0 }
 
-// RunID names one run of a target, so that what is remembered of one is not held against
-// the next that has the same name.
+// RunID identifies one run of a target, so that state recorded for a run is not applied to a
+// later run with the same host ID.
 type RunID string
 
-// NewRunID returns the name of a target's run.
+// NewRunID returns the RunID of an incarnation: the host ID, followed by "@" and the
+// incarnation if that is known.
 func NewRunID(target HostID, i Incarnation) RunID {
 	if i == 0 {
 		return RunID(target)
--- a/ports/table.go
+++ b/ports/table.go
@@ -1,6 +1,9 @@
-// Package ports holds the ports to what the platform gives: a transactional
-// table, an object store and a lagging list of hosts. The adapters over HTTP
-// are in package ports/httpstore; tests put fakes behind the same ports.
+// Package ports defines the interfaces to the services that the platform provides: a
+// transactional table, an object store and an eventually consistent list of hosts. Package
+// ports/httpstore implements them over HTTP; tests use fakes.
+//
+// The two errors ErrUnavailable and ErrUncertain tell whether a failed operation may have
+// taken effect.
 package ports
 
 import (
@@ -9,19 +12,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrUnavailable says that the operation did not take effect and never will:
-// the platform refused it, or the request never left.
+// ErrUnavailable means that the operation did not take effect and never will: the platform
+// rejected it, or the request was never sent.
 var ErrUnavailable = errors.New("platform unavailable")
 
-// ErrUncertain says that the answer was lost: the operation may have taken
-// effect, or may still do so. The caller has to read back.
+// ErrUncertain means that the response was lost: the operation may have taken effect or may
+// still do so. The caller has to read the data back to find out.
 var ErrUncertain = errors.New("platform answer lost")
 
 // Row is one row of the table.
 type Row struct {
 	Key string
-	// Version counts the writes to this key, from 1. A key that is absent has
-	// Version 0.
+	// Version counts the writes to this key, starting at 1. An absent key has Version 0.
 	Version uint64
 	Value   []byte
 }
@@ -32,14 +34,14 @@
 const (
 	// OpInsert writes a row if the key is absent.
 	OpInsert OpKind = iota + 1
-	// OpUpdate writes a row if its version is Op.Version.
+	// OpUpdate writes a row if its current version is Op.Version.
 	OpUpdate
-	// OpPut writes a row whatever is there.
+	// OpPut writes a row unconditionally.
 	OpPut
-	// OpDelete removes a row if its version is Op.Version, or whatever its
-	// version if Op.Version is 0.
+	// OpDelete removes a row if its current version is Op.Version, or unconditionally if
+	// Op.Version is 0.
 	OpDelete
-	// OpCheck requires that the row's version is Op.Version (0: absent).
+	// OpCheck requires that the row's current version is Op.Version; 0 means absent.
 	OpCheck
 )
 
@@ -51,23 +53,23 @@
 	Value   []byte
 }
 
-// CommitResult is the answer to a transaction.
+// CommitResult is the result of a transaction.
 type CommitResult struct {
 	// Applied is true if every operation took effect, false if none did.
 	Applied bool
-	// Conflicts holds, for a transaction that was not applied, the present row
-	// of each operation whose condition failed.
+	// Conflicts holds, for a transaction that was not applied, the current row of each operation
+	// whose condition failed.
 	Conflicts []Row
 }
 
-// Table is a transactional key-value table. All methods return ErrUnavailable
-// or, for Commit alone, ErrUncertain when the platform gives no answer; both
-// are to be tested with errors.Is. Implementations are safe for concurrent use.
+// Table is a transactional key-value table. If the platform gives no result, methods return
+// ErrUnavailable or, for Commit only, ErrUncertain; test for them with errors.Is.
+// Implementations are safe for concurrent use.
 type Table interface {
-	// Get returns a row for each key, in order; an absent key has Version 0.
+	// Get returns one row for each key, in the order of the keys. An absent key has Version 0.
 	Get(ctx context.Context, keys ...string) ([]Row, error)
-	// Scan returns up to limit rows whose key starts with prefix and is
-	// greater than after, in key order.
+	// Scan returns up to limit rows, in key order, whose keys start with prefix and are greater
+	// than after.
 	Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error)
 	// Commit applies all operations or none.
 	Commit(ctx context.Context, ops ...Op) (CommitResult, error)
