--- a/blackboard/board.go
+++ b/blackboard/board.go
@@ -8,37 +8,36 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// Sections of the board.
+// Topics of the sections of a Board.
 const (
-	TopicConfig  Topic = "config"
-	TopicMembers Topic = "members"
-	TopicTargets Topic = "targets"
-	TopicStatus  Topic = "status"
-	TopicRoutes  Topic = "routes"
+	TopicConfig       Topic = "config"
+	TopicMembers      Topic = "members"
+	TopicTargets      Topic = "targets"
+	TopicStatus       Topic = "status"
+	TopicRoutes       Topic = "routes"
 	TopicConfirmation Topic = "confirmation"
 
 	TopicEvacuations Topic = "evacuations"
 )
 
-// Board is the state shared by one daemon's controllers.
+// Board is the state shared by the controllers of one daemon. Each section has the writers
+// that its field names; all other packages only read it.
 type Board struct {
-	// Config is the configuration in force; controller/config writes it.
+	// Config is the active configuration; written by controller/config.
 	Config *Section[*declare.Config]
-	// Members is the view of the entry hosts; controller/membership writes it.
+	// Members is this host's view of the entry hosts; written by controller/membership.
 	Members *Section[*Members]
-	// Targets is the view of all targets; controller/targets writes it.
+	// Targets is this host's view of all targets; written by controller/targets.
 	Targets *Section[*Targets]
-	// Status is what the host says of itself; controller/config and
-	// controller/leave write it.
+	// Status is the state that this host reports of itself; written by controller/config,
+	// controller/leave, controller/targets and controller/watch.
 	Status *Section[Status]
-	// Routes is the configuration by routes in force, nil while none is known;
-	// controller/watch writes it on platforms that declare routes.
+	// Routes is the active route table, nil until one is known; written by controller/watch on
+	// platforms that configure routes.
 	Routes *Section[*routing.Table]
-	// Evacuations are the orders to evacuate availability zones; controller/watch writes
-	// it.
+	// Evacuations are the availability zones being evacuated; written by controller/watch.
 	Evacuations *Section[*Evacuations]
-	// Confirmation is what this host has heard of how new those routes are;
-	// controller/watch writes it.
+	// Confirmation tells how up to date Routes is known to be; written by controller/watch.
 	Confirmation *Section[Confirmation]
 
 	bus *gochannel.GoChannel
--- a/blackboard/section.go
+++ b/blackboard/section.go
@@ -1,7 +1,8 @@
-// Package blackboard is the state that the controllers of one daemon share.
-// Each section holds an immutable value behind an atomic pointer: a reader
-// takes no lock and sees one consistent value, whatever a slow store, peer or
-// probe is doing. Changes are announced over watermill's in-process channel.
+// Package blackboard holds the state that the controllers of one daemon share. A Board
+// consists of sections, and each Section holds an immutable value behind an atomic pointer:
+// readers take no lock and see a consistent value, even while the store, a peer or a probe
+// is slow. Section.Watch reports changes, which are distributed over watermill's in-process
+// channel.
 package blackboard
 
 import (
@@ -15,17 +16,17 @@
 	"github.com/ThreeDotsLabs/watermill/pubsub/gochannel"
 )
 
-// Topic names a section in change events.
+// Topic identifies a section in change events.
 type Topic string
 
-// versioned is a value with the number of changes that led to it.
+// versioned is a value with the number of changes made up to it.
 type versioned[T any] struct {
 	version uint64
 	value   T
 }
 
-// Section holds one immutable value. A value that was stored must not be
-// changed any more, nor anything it points to.
+// Section holds one immutable value. A stored value, and anything it points to, must not be
+// modified.
 type Section[T any] struct {
 	topic Topic
 	bus   *gochannel.GoChannel
@@ -39,14 +40,14 @@
 	return s
 }
 
-// Load returns the present value.
+// Load returns the current value.
 func (s *Section[T]) Load() T { return s.cur.Load().value }
 
 // Version returns the number of changes made so far.
 func (s *Section[T]) Version() uint64 { return s.cur.Load().version }
 
-// Update replaces the value with what f makes of it. If f returns false the
-// value stays. Writers run one at a time; readers never wait.
+// Update replaces the value with the result of f unless f returns false, and reports whether
+// it did. Calls of Update run one at a time; readers never wait.
 func (s *Section[T]) Update(f func(old T) (T, bool)) bool {
 	s.mu.Lock()
 	old := s.cur.Load()
@@ -56,7 +57,7 @@
 	}
 	s.mu.Unlock()
 	if changed {
-		s.announce(old.version + 1)
+		s.publish(old.version + 1)
 	}
 	return changed
 }
@@ -66,16 +67,15 @@
 	s.Update(func(T) (T, bool) { return v, true })
 }
 
-func (s *Section[T]) announce(version uint64) {
+func (s *Section[T]) publish(version uint64) {
 	msg := message.NewMessage(watermill.NewShortUUID(), []byte(strconv.FormatUint(version, 10)))
-	// Publish fails only on a closed bus: the daemon has stopped and nobody
-	// reads any more.
+	// Publish fails only on a closed bus, when the daemon has stopped and nobody is watching.
 	_ = s.bus.Publish(string(s.topic), msg)
 }
 
-// Watch calls f once with the present value and again after each change until
-// ctx ends. Changes that come while f runs are folded into one further call, so
-// a slow watcher sees the newest value and never holds up a writer.
+// Watch calls f with the current value and again after each change until ctx ends. Changes
+// made while f runs are coalesced into one further call, so a slow watcher sees the latest
+// value and never blocks a writer.
 func (s *Section[T]) Watch(ctx context.Context, f func(T)) error {
 	events, err := s.bus.Subscribe(ctx, string(s.topic))
 	if err != nil {
--- a/blackboard/views.go
+++ b/blackboard/views.go
@@ -8,37 +8,39 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// MemberState is what this host thinks of another entry host.
+// MemberState is this host's view of the state of an entry host.
 type MemberState uint8
 
 const (
-	// MemberLive hosts answer heartbeats, or are listed and not yet suspected.
+	// MemberLive means that the host answers heartbeats, or is listed and not yet suspected.
 	MemberLive MemberState = iota + 1
-	// MemberSuspected hosts missed heartbeats; they keep no role.
+	// MemberSuspected means that the host missed heartbeats; it is not eligible for a role.
 	MemberSuspected
-	// MemberLeaving hosts said, or are listed as, leaving; they keep no role.
+	// MemberLeaving means that the host announced that it is leaving or is listed as leaving; it
+	// is not eligible for a role.
 	MemberLeaving
 )
 
-// Member is one entry host as this host sees it.
+// Member is one entry host as seen by this host.
 type Member struct {
 	Host ports.Host
-	// Incarnation differs between two runs of a daemon on the same host; the
-	// later run has the greater number.
+	// Incarnation distinguishes runs of the daemon on the same host; a later run has a greater
+	// number.
 	Incarnation uint64
 	State       MemberState
-	// Ready is false while the host answers no callers.
+	// Ready is false while the host does not serve callers.
 	Ready bool
-	// ConfigSequence is the configuration the host last said it has in force.
+	// ConfigSequence is the sequence number of the configuration that the host last reported as
+	// active.
 	ConfigSequence uint64
 }
 
-// Members is the view of all entry hosts, this one included, sorted by ID.
+// Members is the view of all entry hosts including this one, sorted by ID.
 type Members struct {
 	Self    ports.HostID
 	Members []Member
-	// Complete is set once this host's list was the platform's, or that of another host that
-	// hears all: before, it may lack most of them.
+	// Complete is set once the list has been taken from the platform or from a host that has the
+	// complete membership. Until then most hosts may be missing.
 	Complete bool
 }
 
@@ -63,7 +65,7 @@
 	return Member{}, false
 }
 
-// ServiceKey names a service of a workspace.
+// ServiceKey identifies a service of a workspace.
 type ServiceKey struct {
 	Workspace string
 	Service   string
@@ -72,90 +74,89 @@
 // String returns workspace/service.
 func (k ServiceKey) String() string { return k.Workspace + "/" + k.Service }
 
-// Target is one target as the platform lists it, with what this host knows of
-// its leaving. Load and health that change within milliseconds are not here:
-// they belong to whoever picks.
+// Target is a target as listed by the platform, together with what this host knows of its
+// shutdown. Load and health are not part of it: they change within milliseconds and are kept
+// by the code that chooses targets.
 type Target struct {
 	ID ports.HostID
-	// Incarnation is the target's run that the rest speaks of.
+	// Incarnation is the run of the target that the other fields describe.
 	Incarnation ports.Incarnation
 	Addr        string
 	Zone        string
-	// Leaving targets get no new call. It is set by the list, by the target's
-	// own answers, or by another host's word, whichever comes first.
+	// Leaving is set when the target is to get no new calls. The host list, the target's own
+	// responses and other hosts may each report it; the first report counts.
 	Leaving bool
-	// LeavingSince is when this host first saw a sign of leaving.
+	// LeavingSince is when this host first learned that the target is leaving.
 	LeavingSince time.Time
-	// FirstSeen is when this host first saw the target; a cold start ramps up
-	// from here.
+	// FirstSeen is when this host first saw the target; the cold-start ramp begins then.
 	FirstSeen time.Time
-	// Slots is the number of calls the target runs at once, if it tells; else 0
-	// and its service's declaration says so.
+	// Slots is the number of calls that the target runs concurrently, or 0 if it does not report
+	// one and the configuration of its service applies.
 	Slots int
-	// WarmUntil is when the target stops being cold by its entry; the zero time if that
-	// tells nothing of it.
+	// WarmUntil is the end of the target's warm-up according to its entry in the list, or the
+	// zero time if the entry does not tell.
 	WarmUntil time.Time
-	// Evacuated targets get no new call: their availability zone is to be empty.
+	// Evacuated is set while the target's availability zone is being evacuated; the target gets
+	// no new calls.
 	Evacuated bool
-	// ReturnedAt is when this host heard that the evacuation of the target's zone had ended;
-	// the zero time if there was none. The target may be cold since.
+	// ReturnedAt is when this host learned that the evacuation of the target's zone had ended,
+	// or the zero time if there was none. The target may have gone cold meanwhile.
 	ReturnedAt time.Time
 }
 
-// RunID returns the name of the target's run.
+// RunID identifies the run of the target.
 func (t Target) RunID() ports.RunID { return ports.NewRunID(t.ID, t.Incarnation) }
 
 // Targets is the view of all targets by service; each slice is sorted by ID.
 type Targets struct {
-	// ListVersion is the version of the platform's list it was made from.
+	// ListVersion is the version of the platform's host list that the view was made from.
 	ListVersion uint64
 	ByService   map[ServiceKey][]Target
 }
 
-// Evacuation is an operator's order that the targets of an availability zone get no call.
+// Evacuation is an operator's order to send no calls to the targets of an availability zone.
 type Evacuation struct {
-	// Since is when this host heard of it.
+	// Since is when this host learned of the order.
 	Since    time.Time
 	Revision uint64
 }
 
-// Evacuations is the view of the orders in force, by zone.
+// Evacuations holds the active evacuation orders by availability zone.
 type Evacuations struct {
 	Zones map[string]Evacuation
 }
 
-// Confirmation is what this host has heard of the newest configuration by routes.
+// Confirmation is what this host knows of the latest version of the route table.
 type Confirmation struct {
-	// Newest is the highest version that any host told of.
+	// Newest is the highest version reported by any host.
 	Newest uint64
-	// At is when the platform's store last had none that is newer, by the word of a host that
-	// watches it; the zero time if there was no such word.
+	// At is when the platform's store was last known to have no newer version, as reported by a
+	// host that watches it; the zero time if no host has reported it.
 	At time.Time
 }
 
-// Status is what this host says of itself to the platform's balancer and to
+// Status is the state that this host reports to the platform's load balancer and to
 // operators.
 type Status struct {
-	// ConfigConfirmed is set once the configuration was confirmed as the
-	// newest with the store or, the store being out, with peers.
+	// ConfigConfirmed is set once the configuration has been confirmed as the latest, by the
+	// store or, if the store is unavailable, by peers.
 	ConfigConfirmed bool
-	// Leaving is set from the first sign that this host is to stop.
+	// Leaving is set from the first sign that this host is shutting down.
 	Leaving bool
-	// TargetsUnknown is set by controller/targets until it has a first list.
-	// A new host that took calls before would refuse them for want of targets.
+	// TargetsUnknown is set by controller/targets until it has a first list. A new host that
+	// accepted calls before then would refuse them for lack of targets.
 	TargetsUnknown bool
 }
 
-// Serving reports whether the host knows enough to carry calls. A host that is
-// leaving still does.
+// Serving reports whether the host knows enough to serve calls. A leaving host still does.
 func (s Status) Serving() bool { return s.ConfigConfirmed && !s.TargetsUnknown }
 
-// Ready reports whether the balancer should send new calls.
+// Ready reports whether the load balancer should send new calls to this host.
 func (s Status) Ready() bool { return s.Serving() && !s.Leaving }
 
-// WithLeaving returns the view with one run of a target marked as leaving, and whether
-// that changed anything. A sign of leaving that comes late does not drain the run that
-// has begun since.
+// WithLeaving returns a view in which the given run of a target is marked as leaving, and
+// whether that changed anything. It matches the run, so a late notice does not drain a run
+// that was started since.
 func (t *Targets) WithLeaving(key ServiceKey, run ports.RunID, now time.Time) (*Targets, bool) {
 	list := t.ByService[key]
 	i := slices.IndexFunc(list, func(tg Target) bool { return tg.RunID() == run })
