--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,7 +1,7 @@
-// Package outcome holds what a caller is told about its call: one of three
-// outcomes, and one reason from a closed set. Outcomes are values that travel
-// through the program in place of errors; an error is left for what a caller
-// can not be told about in these terms.
+// Package outcome defines the result of a call as reported to the caller: one of three
+// outcomes and a reason from a closed set, sent in reply headers. A Result is passed through
+// the program as a value instead of an error; errors are for failures that can not be
+// expressed in these terms.
 package outcome
 
 import (
@@ -9,31 +9,30 @@
 	"time"
 )
 
-// Names of the reply headers that carry the outcome and its reason. Both are
-// removed from what callers and targets send.
+// Names of the reply headers that carry the outcome and its reason. Both are removed from
+// the requests of callers and the replies of targets.
 const (
 	HeaderOutcome = "Cactusproxy-Outcome"
 	HeaderReason  = "Cactusproxy-Reason"
-	// HeaderPrefix starts every header name that belongs to cactusproxy.
+	// HeaderPrefix is the prefix of all header names reserved for cactusproxy.
 	HeaderPrefix = "Cactusproxy-"
 )
 
-// Outcome tells whether a call ran.
+// Outcome tells whether a call was executed.
 type Outcome uint8
 
 const (
-	// Answered means that a target's whole answer follows.
+	// Answered means that the reply carries the complete response of a target.
 	Answered Outcome = iota + 1
-	// NotRun means that no target ran the call and none will: for every
-	// attempt, no byte of the request left for a target or the target itself
-	// refused it before running it. For a call with an idempotency key it
-	// speaks of the key over all hosts, not of this one send.
+	// NotRun means that no target executed the call and none will: for every attempt, either no
+	// byte of the request was sent or the target refused it before executing it. For a call with
+	// an idempotency key it refers to the key across all hosts, not to this request alone.
 	NotRun
-	// Unknown means that the call may have run.
+	// Unknown means that the call may have been executed.
 	Unknown
 )
 
-// String returns the outcome as the reply header spells it.
+// String returns the outcome as written in the reply header.
 func (o Outcome) String() string {
 	switch o {
 	case Answered:
@@ -47,34 +46,34 @@
 	}
 }
 
-// Result is an outcome with its reason, and for refusals the time after which
-// the caller may try again.
+// Result is an outcome with its reason.
 type Result struct {
 	Outcome Outcome
 	Reason  Reason
-	// RetryAfter is sent as Retry-After, rounded up to whole seconds. Zero
-	// sends none.
+	// RetryAfter is when the caller may retry. It is sent as Retry-After, rounded up to whole
+	// seconds; zero sends no header.
 	RetryAfter time.Duration
-	// Detail is what a refusal rested on, for the log.
+	// Detail explains the basis of a refusal in the log.
 	Detail string
 }
 
-// Refuse returns a not-run result with the reason's usual Retry-After.
+// Refuse returns a NotRun result with the reason's default Retry-After.
 func Refuse(r Reason) Result {
 	return Result{Outcome: NotRun, Reason: r, RetryAfter: r.info().retryAfter}
 }
 
-// Uncertain returns an unknown result with the reason's usual Retry-After.
+// Uncertain returns an Unknown result with the reason's default Retry-After.
 func Uncertain(r Reason) Result {
 	return Result{Outcome: Unknown, Reason: r, RetryAfter: r.info().retryAfter}
 }
 
-// Status returns the HTTP status of a reply that cactusproxy makes itself. A
-// target's own answer keeps the target's status.
+// Status returns the HTTP status of a reply that cactusproxy generates. A target's response
+// keeps its own status.
 //
-// The outcome goes first. Client libraries repeat on 503 and 429 what they would
-// repeat on nothing else, so these are told of calls that did not run alone; a
-// call that may have run is a bad gateway or a timeout, whatever the reason.
+// The outcome takes precedence over the reason. Client libraries retry on 503 and 429 calls
+// that they would not retry otherwise, so only calls that were not executed get these. A
+// call that may have been executed is reported as a bad gateway or a gateway timeout,
+// whatever the reason.
 func (r Result) Status() int {
 	status := r.Reason.info().status
 	switch r.Outcome {
--- a/outcome/reason.go
+++ b/outcome/reason.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// Reason says why a call had its outcome. The set is closed: Reasons lists all
-// of them, each has a counter, and docs/OPERATING.md says what to do about it.
+// Reason is why a call had its outcome. The set is closed: Reasons lists all of them, each
+// has a counter, and docs/OPERATING.md says what to do about it.
 type Reason string
 
 // Reasons of answered calls.
 const (
-	// ReasonOK is an answer that a target gave to this call.
+	// ReasonOK means that a target responded to this request.
 	ReasonOK Reason = "ok"
-	// ReasonStored is an answer kept from an earlier send of the same key.
+	// ReasonStored means that the response was stored for an earlier request with the same key.
 	ReasonStored Reason = "stored-answer"
 )
 
-// Reasons that refuse a call before any target is chosen.
+// Reasons for refusing a call before a target is chosen.
 const (
 	ReasonNoRoute Reason = "no-route"
-	// ReasonConfigUnconfirmed is a call that the configuration at hand does not allow, at a
-	// host that can not tell whether that is the newest.
+	// ReasonConfigUnconfirmed means that the local configuration does not allow the call, and
+	// this host can not tell whether that configuration is the latest.
 	ReasonConfigUnconfirmed Reason = "config-unconfirmed"
 	ReasonBadRequest        Reason = "bad-request"
-	// ReasonUnknownKey is a call without the API key of a tenant.
+	// ReasonUnknownKey means that the call does not have the API key of a tenant.
 	ReasonUnknownKey Reason = "unknown-api-key"
-	// ReasonOverQuota is a call beyond its tenant's quota.
+	// ReasonOverQuota means that the call exceeds its tenant's quota.
 	ReasonOverQuota Reason = "over-quota"
-	// ReasonQuotaUnknown is a call of which no host can tell whether it is within the quota.
+	// ReasonQuotaUnknown means that no host can tell whether the call is within the quota.
 	ReasonQuotaUnknown   Reason = "quota-unknown"
 	ReasonBodyTooLarge   Reason = "body-too-large"
 	ReasonNotReady       Reason = "not-ready"
@@ -41,31 +41,31 @@
 	ReasonCallerGone     Reason = "caller-gone"
 )
 
-// Reasons about targets.
+// Reasons concerning targets.
 const (
 	ReasonNoTarget Reason = "no-target"
-	// ReasonEvacuated is a call whose service has targets in evacuated zones alone.
+	// ReasonEvacuated means that all targets of the service are in evacuated zones.
 	ReasonEvacuated     Reason = "evacuated"
 	ReasonShed          Reason = "shed"
 	ReasonConnect       Reason = "connect-failed"
 	ReasonConnLimit     Reason = "connection-limit"
 	ReasonBrokeOff      Reason = "target-broke-off"
 	ReasonTargetTimeout Reason = "target-timeout"
-	// ReasonForeignAnswer is an answer that does not belong to the request, or that
-	// no target vouches for.
+	// ReasonForeignAnswer means that the response does not belong to the request, or that no
+	// target authenticated it.
 	ReasonForeignAnswer Reason = "foreign-answer"
-	// ReasonReplaced is a refusal by another target that has the address.
+	// ReasonReplaced means that another target now has the address and refused the call.
 	ReasonReplaced Reason = "target-replaced"
-	// ReasonTargetLimit is a call whose service has targets alone that have used up the limits
-	// that they name.
+	// ReasonTargetLimit means that all targets of the service have reached the limits that they
+	// announced.
 	ReasonTargetLimit Reason = "target-limit"
-	// ReasonTargetRest is a call whose service has targets alone that asked this host for rest.
+	// ReasonTargetRest means that all targets of the service asked this host to pause.
 	ReasonTargetRest Reason = "target-rest"
-	// ReasonOverload is a call that could not have been answered in time.
+	// ReasonOverload means that the call could not have been answered before its deadline.
 	ReasonOverload Reason = "overload"
 )
 
-// Reasons about at-most-once calls.
+// Reasons concerning at-most-once calls.
 const (
 	ReasonKeyRequired      Reason = "key-required"
 	ReasonKeyMalformed     Reason = "key-malformed"
@@ -81,22 +81,22 @@
 	ReasonAnswerNotKept    Reason = "answer-not-kept"
 )
 
-// info is what belongs to a reason besides its name.
+// info holds the properties of a reason.
 type info struct {
 	status     int
 	retryAfter time.Duration
 }
 
-// Usual times after which a refused caller may try again.
+// Default times after which a refused caller may retry.
 const (
-	// elsewhere is for what one target or host could not take: another may, at
-	// once. With a second in its place, callers whose deadline is near gave up.
-	elsewhere = 20 * time.Millisecond
-	// soon is for want of room, about the time in which calls in flight end.
-	soon = 200 * time.Millisecond
-	// untilTakenBack is for what lasts until an operator ends it.
-	untilTakenBack = time.Second
-	later          = 5 * time.Second
+	// retryImmediately is for refusals by one target or host: another may accept the call at
+	// once. With a whole second, callers close to their deadline gave up.
+	retryImmediately = 20 * time.Millisecond
+	// retrySoon is for a lack of capacity; it is about the time in which calls in flight finish.
+	retrySoon = 200 * time.Millisecond
+	// retryAfterOperator is for conditions that last until an operator ends them.
+	retryAfterOperator = time.Second
+	retryLater         = 5 * time.Second
 )
 
 var infos = map[Reason]info{
@@ -104,46 +104,46 @@
 	ReasonStored: {status: http.StatusOK},
 
 	ReasonNoRoute: {status: http.StatusNotFound},
-	// A host that is behind catches up in about this time: it waits for the change for a
-	// moment and then asks for it.
-	ReasonConfigUnconfirmed: {status: http.StatusServiceUnavailable, retryAfter: soon},
+	// A host that is behind catches up in about this time: it waits briefly for the change and
+	// then asks for it.
+	ReasonConfigUnconfirmed: {status: http.StatusServiceUnavailable, retryAfter: retrySoon},
 	ReasonBadRequest:        {status: http.StatusBadRequest},
 	ReasonUnknownKey:        {status: http.StatusUnauthorized},
-	ReasonOverQuota:         {status: http.StatusTooManyRequests, retryAfter: soon},
-	ReasonQuotaUnknown:      {status: http.StatusServiceUnavailable, retryAfter: elsewhere},
+	ReasonOverQuota:         {status: http.StatusTooManyRequests, retryAfter: retrySoon},
+	ReasonQuotaUnknown:      {status: http.StatusServiceUnavailable, retryAfter: retryImmediately},
 	ReasonBodyTooLarge:      {status: http.StatusRequestEntityTooLarge},
-	ReasonNotReady:          {status: http.StatusServiceUnavailable, retryAfter: soon},
-	ReasonWorkspaceLimit:    {status: http.StatusTooManyRequests, retryAfter: soon},
-	ReasonQueueFull:         {status: http.StatusServiceUnavailable, retryAfter: soon},
+	ReasonNotReady:          {status: http.StatusServiceUnavailable, retryAfter: retrySoon},
+	ReasonWorkspaceLimit:    {status: http.StatusTooManyRequests, retryAfter: retrySoon},
+	ReasonQueueFull:         {status: http.StatusServiceUnavailable, retryAfter: retrySoon},
 	ReasonDeadline:          {status: http.StatusGatewayTimeout},
-	ReasonQueueTimeout:      {status: http.StatusServiceUnavailable, retryAfter: soon},
+	ReasonQueueTimeout:      {status: http.StatusServiceUnavailable, retryAfter: retrySoon},
 	ReasonTooDeep:           {status: http.StatusLoopDetected},
-	ReasonQuarantined:       {status: http.StatusServiceUnavailable, retryAfter: later},
+	ReasonQuarantined:       {status: http.StatusServiceUnavailable, retryAfter: retryLater},
 	ReasonCallerGone:        {status: http.StatusServiceUnavailable},
 
-	ReasonNoTarget:      {status: http.StatusServiceUnavailable, retryAfter: soon},
-	ReasonEvacuated:     {status: http.StatusServiceUnavailable, retryAfter: untilTakenBack},
-	ReasonShed:          {status: http.StatusServiceUnavailable, retryAfter: elsewhere},
-	ReasonConnect:       {status: http.StatusBadGateway, retryAfter: elsewhere},
-	ReasonConnLimit:     {status: http.StatusServiceUnavailable, retryAfter: elsewhere},
+	ReasonNoTarget:      {status: http.StatusServiceUnavailable, retryAfter: retrySoon},
+	ReasonEvacuated:     {status: http.StatusServiceUnavailable, retryAfter: retryAfterOperator},
+	ReasonShed:          {status: http.StatusServiceUnavailable, retryAfter: retryImmediately},
+	ReasonConnect:       {status: http.StatusBadGateway, retryAfter: retryImmediately},
+	ReasonConnLimit:     {status: http.StatusServiceUnavailable, retryAfter: retryImmediately},
 	ReasonBrokeOff:      {status: http.StatusBadGateway},
 	ReasonTargetTimeout: {status: http.StatusGatewayTimeout},
 	ReasonForeignAnswer: {status: http.StatusBadGateway},
-	ReasonReplaced:      {status: http.StatusServiceUnavailable, retryAfter: elsewhere},
-	ReasonTargetLimit:   {status: http.StatusServiceUnavailable, retryAfter: soon},
-	ReasonTargetRest:    {status: http.StatusServiceUnavailable, retryAfter: soon},
-	ReasonOverload:      {status: http.StatusServiceUnavailable, retryAfter: soon},
+	ReasonReplaced:      {status: http.StatusServiceUnavailable, retryAfter: retryImmediately},
+	ReasonTargetLimit:   {status: http.StatusServiceUnavailable, retryAfter: retrySoon},
+	ReasonTargetRest:    {status: http.StatusServiceUnavailable, retryAfter: retrySoon},
+	ReasonOverload:      {status: http.StatusServiceUnavailable, retryAfter: retrySoon},
 
 	ReasonKeyRequired:      {status: http.StatusBadRequest},
 	ReasonKeyMalformed:     {status: http.StatusBadRequest},
 	ReasonKeyExpired:       {status: http.StatusGone},
 	ReasonNoKeys:           {status: http.StatusNotImplemented},
 	ReasonKeyMismatch:      {status: http.StatusUnprocessableEntity},
-	ReasonKeyInProgress:    {status: http.StatusConflict, retryAfter: soon},
-	ReasonKeyUndecided:     {status: http.StatusConflict, retryAfter: later},
-	ReasonKeyGivenUp:       {status: http.StatusServiceUnavailable, retryAfter: soon},
-	ReasonStoreUnavailable: {status: http.StatusServiceUnavailable, retryAfter: later},
-	ReasonClaimUnknown:     {status: http.StatusServiceUnavailable, retryAfter: later},
+	ReasonKeyInProgress:    {status: http.StatusConflict, retryAfter: retrySoon},
+	ReasonKeyUndecided:     {status: http.StatusConflict, retryAfter: retryLater},
+	ReasonKeyGivenUp:       {status: http.StatusServiceUnavailable, retryAfter: retrySoon},
+	ReasonStoreUnavailable: {status: http.StatusServiceUnavailable, retryAfter: retryLater},
+	ReasonClaimUnknown:     {status: http.StatusServiceUnavailable, retryAfter: retryLater},
 	ReasonIssuerGone:       {status: http.StatusGone},
 	ReasonAnswerNotKept:    {status: http.StatusConflict},
 }
