--- a/metrics/histogram.go
+++ b/metrics/histogram.go
@@ -9,8 +9,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histogram of latencies, in microseconds with two digits, up to a minute. It is
-// safe for concurrent use.
+// Histogram records latencies in microseconds with a precision of two significant digits, up
+// to one minute. It is safe for concurrent use.
 type Histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
@@ -23,7 +23,7 @@
 
 var _ expvar.Var = (*Histogram)(nil)
 
-// Histogram returns the histogram with this name, making it at first use.
+// Histogram returns the histogram with this name, creating it on first use.
 func (s *Set) Histogram(name string) *Histogram {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -35,14 +35,14 @@
 	return h
 }
 
-// Observe adds a latency. One beyond a minute counts as a minute.
+// Observe records a latency. Latencies above one minute are recorded as one minute.
 func (h *Histogram) Observe(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	_ = h.h.RecordValue(min(d, maxLatency).Microseconds()) // in range by the line above
+	_ = h.h.RecordValue(min(d, maxLatency).Microseconds()) // clamped to the histogram's range
 }
 
-// String returns the usual percentiles as JSON.
+// String returns the count, percentiles and maximum as JSON.
 func (h *Histogram) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics holds the counters of one daemon. They are expvar variables
-// that are not published process-wide, so that many daemons fit in one process;
-// the operators' listener serves them as JSON.
+// Package metrics holds the counters and histograms of one daemon. They are expvar variables
+// in a Set of their own instead of expvar's process-wide registry, so that several daemons
+// can run in one process. The operators' listener serves a Set as JSON.
 package metrics
 
 import (
@@ -10,22 +10,22 @@
 	"sync"
 )
 
-// Set is the counters of one daemon. The zero value is not usable; see New.
+// Set holds the metrics of one daemon. The zero value is not usable; see New.
 type Set struct {
 	mu   sync.Mutex
 	root *expvar.Map
 
 	// Calls counts finished calls by outcome.
 	Calls *expvar.Map
-	// Reasons counts finished calls by reason, all refusals among them.
+	// Reasons counts finished calls by reason, including all refusals.
 	Reasons *expvar.Map
-	// Retries counts further attempts by the reason for them.
+	// Retries counts attempts after the first by the reason for the retry.
 	Retries *expvar.Map
-	// RetriesRefused counts attempts not made, by reason.
+	// RetriesRefused counts retries that were not made, by reason.
 	RetriesRefused *expvar.Map
 }
 
-// New returns an empty set of counters.
+// New returns an empty set.
 func New() *Set {
 	s := &Set{root: new(expvar.Map)}
 	s.Calls = s.Map("calls")
@@ -35,7 +35,7 @@
 	return s
 }
 
-// Map returns the map of counters with this name, making it at first use.
+// Map returns the map of counters with this name, creating it on first use.
 func (s *Set) Map(name string) *expvar.Map {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,8 +47,8 @@
 	return m
 }
 
-// Counters returns a function that makes counters of the map with this name, so
-// that a package can hold those it counts on every message without a lookup.
+// Counters returns a function that creates counters in the map with this name. A package on
+// a hot path can keep the counters and increment them without a map lookup.
 func (s *Set) Counters(name string) func(counter string) *expvar.Int {
 	m := s.Map(name)
 	return func(counter string) *expvar.Int {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Int returns the counter with this name, making it at first use.
+// Int returns the counter with this name, creating it on first use.
 func (s *Set) Int(name string) *expvar.Int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,15 +70,15 @@
 	return v
 }
 
-// Func adds a value that is computed when it is read.
+// Func adds a value that is computed each time the metrics are read.
 func (s *Set) Func(name string, f func() any) {
 	s.root.Set(name, expvar.Func(f))
 }
 
-// String returns all counters as JSON.
+// String returns all metrics as JSON.
 func (s *Set) String() string { return s.root.String() }
 
-// ServeHTTP serves all counters as JSON.
+// ServeHTTP serves all metrics as JSON.
 func (s *Set) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	fmt.Fprintln(w, s.root.String())
