--- a/calllog/calllog.go
+++ b/calllog/calllog.go
@@ -1,6 +1,7 @@
-// Package calllog writes one line for a call that an operator may be asked about:
-// each that failed, was refused or was sent again, and a sample of the others.
-// The volume is bounded; what is left out is counted.
+// Package calllog writes the access log. It logs every call that failed, was refused or was
+// retried, and a sample of the others, so that an operator can tell what happened to a call.
+// The volume is rate limited; lines that exceed the limit are counted. It also records the
+// latency histogram of each service.
 package calllog
 
 import (
@@ -19,40 +20,41 @@
 )
 
 const (
-	// linesPerSecond and lineBurst bound the lines of one host. An overload that
-	// refuses thousands of calls a second has one cause, and a hundred lines show
-	// it; a line costs about 10 microseconds.
+	// linesPerSecond and lineBurst limit the lines of one host. An overload that refuses
+	// thousands of calls per second has one cause, which a hundred lines show; a line costs
+	// about 10 microseconds.
 	linesPerSecond = 100
 	lineBurst      = 300
-	// sampleEvery is how many calls that ended well there are to a line.
+	// sampleEvery is the sampling rate of successful calls: one in this many is logged.
 	sampleEvery = 200
-	// maxHistograms bounds the services that have a histogram.
+	// maxHistograms is the largest number of services that get a latency histogram.
 	maxHistograms = 64
 )
 
-// Call is a call that has ended.
+// Call is a finished call.
 type Call struct {
-	// ID is the caller's, empty if it set none.
+	// ID is the request ID set by the caller, or empty.
 	ID      string
 	Method  string
 	Host    string
 	Path    string
 	Service string
-	// Tenant is the name of the tenant whose key the call had; empty if it needed none.
+	// Tenant is the name of the tenant that the call's API key belongs to, or empty if the call
+	// needed none.
 	Tenant string
-	// ConfigVersion is the version of the configuration that the call went by.
+	// ConfigVersion is the version of the configuration that was applied to the call.
 	ConfigVersion uint64
 	Arrived       time.Time
-	// Waited is how long before that the caller first asked, as far as is known.
+	// Waited is how long before Arrived the caller first sent the call, as far as known.
 	Waited time.Duration
-	// Timeout is how long the call had.
+	// Timeout is the time the call had to finish.
 	Timeout  time.Duration
 	Result   outcome.Result
 	Status   int
 	Attempts []dispatch.AttemptRecord
 }
 
-// Log writes lines of calls. It is safe for concurrent use.
+// Log writes log lines for calls. It is safe for concurrent use.
 type Log struct {
 	log     *zap.Logger
 	limiter *rate.Limiter
@@ -60,11 +62,11 @@
 	metrics *metrics.Set
 
 	mu         sync.Mutex
-	good       int
+	succeeded  int
 	histograms map[string]*metrics.Histogram
 }
 
-// New returns a log of calls.
+// New returns a Log that writes to log and counts in m.
 func New(log *zap.Logger, m *metrics.Set) *Log {
 	return &Log{
 		log:        log,
@@ -75,7 +77,7 @@
 	}
 }
 
-// Ended notes a call that has ended.
+// Ended records a finished call.
 func (l *Log) Ended(c Call) {
 	took := time.Since(c.Arrived)
 	l.observe(c.Service, took)
@@ -89,7 +91,7 @@
 	l.log.Info("call", c.fields(took)...)
 }
 
-// noteworthy reports whether an operator may be asked about the call.
+// noteworthy reports whether the call is logged regardless of sampling.
 func (c *Call) noteworthy() bool {
 	return c.Result.Outcome != outcome.Answered || c.Status >= 500 || len(c.Attempts) > 1
 }
@@ -97,8 +99,8 @@
 func (l *Log) sampled() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.good++
-	return l.good%sampleEvery == 0
+	l.succeeded++
+	return l.succeeded%sampleEvery == 0
 }
 
 // observe adds a latency to the histogram of a service.
@@ -144,16 +146,16 @@
 		f = append(f, zap.String("why", c.Result.Detail))
 	}
 	if len(c.Attempts) > 0 {
-		f = append(f, zap.String("attempts", attempts(c.Attempts)))
+		f = append(f, zap.String("attempts", formatAttempts(c.Attempts)))
 	}
 	return f
 }
 
-// attempts writes attempts as "target:reason/status took=… cost=… age=… probed=…",
-// separated by semicolons.
-func attempts(list []dispatch.AttemptRecord) string {
+// formatAttempts formats attempts as "target:reason/status took=… ran=… cost=… age=…
+// probed=… waited=…", separated by semicolons; cold= and limit= are added if set.
+func formatAttempts(records []dispatch.AttemptRecord) string {
 	var b strings.Builder
-	for i, a := range list {
+	for i, a := range records {
 		if i > 0 {
 			b.WriteString("; ")
 		}
@@ -162,7 +164,7 @@
 			b.WriteString("/" + strconv.Itoa(a.Status))
 		}
 		b.WriteString(" took=" + a.Took.Round(time.Microsecond).String())
-		b.WriteString(" ran=" + ran(a))
+		b.WriteString(" ran=" + mayHaveRun(a))
 		b.WriteString(" cost=" + strconv.FormatFloat(a.Basis.Cost, 'f', 2, 64))
 		b.WriteString(" age=" + a.Basis.Age.Round(time.Microsecond).String())
 		if a.Basis.Cold != "" {
@@ -177,7 +179,7 @@
 	return b.String()
 }
 
-func ran(a dispatch.AttemptRecord) string {
+func mayHaveRun(a dispatch.AttemptRecord) string {
 	if a.MayHaveRun {
 		return "maybe"
 	}
