--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,5 +1,7 @@
-// Package explain finds in the logs of entry hosts what became of a request, and
-// what the hosts had learned of the targets and the configuration that it met.
+// Package explain reconstructs from the logs of entry hosts what happened to a request. It
+// finds the log lines of the request and, around its time, those about the targets it was
+// sent to and the state of the hosts that handled it. It depends on the messages and keys
+// that other packages log.
 package explain
 
 import (
@@ -14,42 +16,42 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Around a request: lines of what hosts believed are shown from before it arrived
-// until after it ended.
+// Lines about targets and hosts are included from contextBefore before the request arrived
+// until contextAfter after it ended.
 const (
-	before = 10 * time.Second
-	after  = time.Second
+	contextBefore = 10 * time.Second
+	contextAfter  = time.Second
 )
 
-// maxLine bounds a line of a log in bytes.
+// maxLine is the longest log line that is read, in bytes.
 const maxLine = 1 << 20
 
-// Line is one line of a log.
+// Line is a parsed log line.
 type Line struct {
 	At   time.Time
 	Text string
-	// Fields are the line's pairs.
+	// Fields holds the key=value pairs of the line.
 	Fields map[string]string
 }
 
-// Message is what the line says.
+// Message returns the log message.
 func (l Line) Message() string { return l.Fields["msg"] }
 
-// pair is key=value or key="quoted value".
-var pair = regexp.MustCompile(`([A-Za-z0-9_.]+)=("(?:[^"\\]|\\.)*"|[^ ]*)`)
+// fieldPattern matches key=value or key="quoted value".
+var fieldPattern = regexp.MustCompile(`([A-Za-z0-9_.]+)=("(?:[^"\\]|\\.)*"|[^ ]*)`)
 
-// stamp is the field that each line begins with, also behind a prefix that whoever
-// gathered the log put before it.
-const stamp = "ts="
+// timestampPrefix is the start of every log line. A log collector may have put a prefix of
+// its own before it.
+const timestampPrefix = "ts="
 
-// Parse reads a line; false means that it is none of cactusproxy's.
+// Parse parses a line. It returns false if the line is not a log line of cactusproxy.
 func Parse(text string) (Line, bool) {
-	i := strings.Index(text, stamp)
+	i := strings.Index(text, timestampPrefix)
 	if i < 0 {
 		return Line{}, false
 	}
 	l := Line{Text: text[i:], Fields: make(map[string]string)}
-	for _, m := range pair.FindAllStringSubmatch(l.Text, -1) {
+	for _, m := range fieldPattern.FindAllStringSubmatch(l.Text, -1) {
 		l.Fields[m[1]] = strings.Trim(m[2], `"`)
 	}
 	at, err := time.Parse(time.RFC3339Nano, l.Fields["ts"])
@@ -57,19 +59,19 @@
 	return l, err == nil
 }
 
-// Timeline is what the logs tell of a request.
+// Timeline holds the log lines that concern a request.
 type Timeline struct {
-	// Calls are the lines of the request itself, one for each host that had it.
+	// Calls are the lines of the request itself, one for each host that handled it.
 	Calls []Line
-	// Context are lines of any host about the targets that the request met, its
-	// host, and the configuration, from the time around it.
+	// Context are lines from around the same time about the targets that the request was sent
+	// to, and about the hosts that handled it and their configuration.
 	Context []Line
 }
 
-// ErrNotFound says that no log has a line of the request.
-var ErrNotFound = errors.New("no line of this request: it was answered well, or left out to bound the volume (see call_lines_dropped), or the host's log is missing")
+// ErrNotFound means that no log has a line for the request.
+var ErrNotFound = errors.New("no log line for this request: it succeeded and was not sampled, its line was dropped by the rate limit (see call_lines_dropped), or the log of its host is missing")
 
-// Find looks for a request in logs.
+// Find searches logs for a request.
 func Find(id string, logs ...io.Reader) (Timeline, error) {
 	var all []Line
 	for _, r := range logs {
@@ -90,7 +92,7 @@
 		return s, ErrNotFound
 	}
 	for _, l := range all {
-		if l.Message() != "call" && s.concerns(l) {
+		if l.Message() != "call" && s.relevant(l) {
 			s.Context = append(s.Context, l)
 		}
 	}
@@ -109,33 +111,35 @@
 	return lines, errors.Wrap(scan.Err(), "read log")
 }
 
-// hostWide are messages about a whole host, which matter if it is the request's.
-var hostWide = []string{
+// hostMessages are messages about the state of a whole host. They are relevant if that host
+// handled the request.
+var hostMessages = []string{
 	"listening", "leaving", "left", "configuration in force", "targets read",
 	"store lost", "store regained", "watching the store", "no longer watching the store",
 	"settings read again",
 	"zone evacuated", "evacuation ended", "evacuation kept, no word of the store",
 }
 
-// concerns reports whether a line may have to do with the request.
-func (s *Timeline) concerns(l Line) bool {
+// relevant reports whether a line may be related to the request.
+func (s *Timeline) relevant(l Line) bool {
 	for _, c := range s.Calls {
 		took, _ := time.ParseDuration(c.Fields["took"])
 		arrived := c.At.Add(-took)
-		if l.At.Before(arrived.Add(-before)) || l.At.After(c.At.Add(after)) {
+		if l.At.Before(arrived.Add(-contextBefore)) || l.At.After(c.At.Add(contextAfter)) {
 			continue
 		}
 		if t := l.Fields["target"]; t != "" && strings.Contains(c.Fields["attempts"], t+":") {
 			return true
 		}
-		if l.Fields["host"] == c.Fields["host"] && slices.Contains(hostWide, l.Message()) {
+		if l.Fields["host"] == c.Fields["host"] && slices.Contains(hostMessages, l.Message()) {
 			return true
 		}
 	}
 	return false
 }
 
-// Write tells the story in order of time.
+// Write writes the lines in chronological order; those of the request itself are marked with
+// ">".
 func (s *Timeline) Write(w io.Writer) error {
 	lines := slices.Concat(s.Context, s.Calls)
 	slices.SortStableFunc(lines, func(a, b Line) int {
@@ -147,7 +151,7 @@
 			mark = "> "
 		}
 		if _, err := io.WriteString(w, mark+l.Text+"\n"); err != nil {
-			return errors.Wrap(err, "write story")
+			return errors.Wrap(err, "write timeline")
 		}
 	}
 	return nil
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -19,7 +19,7 @@
 ts=2026-03-03T09:00:00.000Z level=info msg="target listed" host=b target=t1
 `
 
-func TestStoryOfARequestOverHosts(t *testing.T) {
+func TestTimelineAcrossHosts(t *testing.T) {
 	s, err := Find("r7", strings.NewReader(hostA), strings.NewReader(hostB))
 	assert.NilError(t, err)
 	var out strings.Builder
