--- a/declare/body.go
+++ b/declare/body.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Limits of the fields themselves. They keep a slip of the pen, such as a
-// missing unit, from reaching every host; a template sets narrower ones.
+// Built-in limits of the fields. They keep a mistake, such as a missing unit, from being
+// rolled out to every host; a template may set narrower ones.
 var (
 	versionLimits   = limits{1, 1 << 53}
 	inFlightLimits  = limits{1, 1e6}
 	budgetLimits    = limits{0, float64(time.Minute)}
-	shareLimits     = limits{0, 1}
+	ratioLimits     = limits{0, 1}
 	slotLimits      = limits{1, 1e4}
 	connLimits      = limits{1, 1e5}
 	queueLimits     = limits{0, 1e6}
@@ -26,9 +26,9 @@
 )
 
 const (
-	// maxNameLength bounds names and path prefixes, in bytes.
+	// maxNameLength is the maximum length of names and path prefixes, in bytes.
 	maxNameLength = 200
-	// maxServices bounds the services of one workspace.
+	// maxServices is the maximum number of services of one workspace.
 	maxServices = 1000
 )
 
@@ -41,34 +41,34 @@
 	"maxAttempts", "maxReplayBody", "maxBody", "coldStart", "healthPath",
 }
 
-// workspace reads the body of a template. While a template is checked,
-// parameters without a default read as zero and rules that compare several
-// fields are left out.
+// workspace decodes the body of a template. While a template is checked on its own,
+// parameters without a default are read as zero and rules that compare several fields are
+// skipped.
 func (d *decoder) workspace(n node, checking bool) Workspace {
 	o := d.object(n, workspaceFields...)
 	ws := Workspace{
 		HostNames:   d.hostNames(o.optional("hostNames")),
 		MaxInFlight: int(d.integer(o.required("maxInFlight"), inFlightLimits)),
 		ProbeBudget: d.duration(o.required("probeBudget"), budgetLimits),
-		RetryRatio:  d.ratio(o.required("retryRatio"), shareLimits),
-		HedgeRatio:  d.ratio(o.required("hedgeRatio"), shareLimits),
+		RetryRatio:  d.ratio(o.required("retryRatio"), ratioLimits),
+		HedgeRatio:  d.ratio(o.required("hedgeRatio"), ratioLimits),
 	}
 	defaults := d.object(o.optional("serviceDefaults"), serviceFields...)
 	services := d.object(o.required("services"))
-	owned := d.owned(o.optional("owns"), services)
+	owned := d.ownedServices(o.optional("owns"), services)
 	for _, name := range services.names() {
 		s := d.service(name, services.fields[name], defaults.fields, checking)
 		if slices.Contains(owned, name) {
 			ws.Services = append(ws.Services, s)
 		}
 	}
-	d.distinct(services, ws.Services)
+	d.checkPathPrefixes(services, ws.Services)
 	return ws
 }
 
-// owned returns the services that the workspace takes of those in the
-// template: all, if the template does not leave the choice open.
-func (d *decoder) owned(n node, services object) []string {
+// ownedServices returns the names of the services that the workspace selects from the
+// template: all of them if the template has no "owns" field.
+func (d *decoder) ownedServices(n node, services object) []string {
 	resolved := d.resolve(n, TypeStrings)
 	if resolved.absent() {
 		return services.names()
@@ -104,13 +104,13 @@
 		d.fail(n, "%s", nameRule)
 	}
 	if !checking {
-		d.consistent(s, n)
+		d.checkService(s, n)
 	}
 	return s
 }
 
-// consistent checks rules between fields of one service.
-func (d *decoder) consistent(s Service, n node) {
+// checkService checks the rules between fields of one service.
+func (d *decoder) checkService(s Service, n node) {
 	if s.Slots > s.MaxConns {
 		d.fail(n, "slots (%d) are more than maxConns (%d)", s.Slots, s.MaxConns)
 	}
@@ -119,15 +119,15 @@
 	}
 	for _, r := range s.AtMostOnce {
 		if r.PathPrefix != "" && !hasPathPrefix(r.PathPrefix, s.PathPrefix) {
-			// Such a rule matches no call of the service, and calls that were
-			// meant to run at most once would be repeated.
+			// Such a rule matches no call of the service, so calls that were meant to run at most
+			// once could be retried.
 			d.fail(n, "at-most-once call %q lies outside pathPrefix %s", r, s.PathPrefix)
 		}
 	}
 }
 
-// distinct checks that no two services are reached by the same path.
-func (d *decoder) distinct(services object, list []Service) {
+// checkPathPrefixes checks the number of services and that no two have the same path prefix.
+func (d *decoder) checkPathPrefixes(services object, list []Service) {
 	if services.at.absent() {
 		return // reported as a missing field
 	}
@@ -176,8 +176,7 @@
 	return s
 }
 
-// validName reports whether a name can stand in a path and in a key of the
-// table as it is.
+// validName reports whether a name can be used unescaped in a URL path and in a table key.
 func validName(s string) bool {
 	if s == "" || len(s) > maxNameLength {
 		return false
--- a/declare/calls.go
+++ b/declare/calls.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// anyCall names every call of a service.
+// anyCall is the rule that matches every call of a service.
 const anyCall = "*"
 
 var methods = []string{
@@ -14,7 +14,7 @@
 	http.MethodPatch, http.MethodDelete, http.MethodOptions,
 }
 
-// String returns the rule as a file writes it.
+// String returns the rule in the syntax of configuration files.
 func (r CallRule) String() string {
 	s := strings.TrimSpace(r.Method + " " + r.PathPrefix)
 	if s == "" {
@@ -23,7 +23,7 @@
 	return s
 }
 
-// calls reads a list of rules such as "POST /bids", "POST", "/bids" or "*".
+// calls decodes a list of rules such as "POST /bids", "POST", "/bids" or "*".
 func (d *decoder) calls(n node) []CallRule {
 	var out []CallRule
 	for _, s := range d.strings(n, TypeCalls) {
@@ -41,18 +41,18 @@
 	if s == anyCall {
 		return CallRule{}, true
 	}
-	method, path, two := strings.Cut(s, " ")
-	if !two && strings.HasPrefix(s, "/") {
+	method, path, hasPath := strings.Cut(s, " ")
+	if !hasPath && strings.HasPrefix(s, "/") {
 		return CallRule{PathPrefix: s}, validPath(s)
 	}
 	if !slices.Contains(methods, method) {
 		return CallRule{}, false
 	}
-	return CallRule{Method: method, PathPrefix: path}, !two || validPath(path)
+	return CallRule{Method: method, PathPrefix: path}, !hasPath || validPath(path)
 }
 
-// validPath reports whether a path prefix can be matched as it stands: it is
-// absolute and has none of the forms that a router would clean or decode.
+// validPath reports whether a path prefix can be matched literally: it is absolute and
+// contains nothing that a router would normalize or decode.
 func validPath(p string) bool {
 	if !strings.HasPrefix(p, "/") || strings.Contains(p, "//") || len(p) > maxNameLength {
 		return false
--- a/declare/declare_test.go
+++ b/declare/declare_test.go
@@ -25,7 +25,7 @@
 	return tpl, decl
 }
 
-func TestExamplesHoldTheSizesOfToday(t *testing.T) {
+func TestExamplesExpand(t *testing.T) {
 	tests := []struct {
 		name, once        string
 		services          int
@@ -148,8 +148,8 @@
 	assert.Equal(t, len(Diff(&before, &before)), 0)
 }
 
-// FuzzExpand feeds arbitrary files: parsing must not panic, every refusal must
-// name a file and a line, and what is accepted must expand the same way again.
+// FuzzExpand checks that arbitrary files do not panic, that every error names a file and a
+// line, and that accepted files expand to the same result again.
 func FuzzExpand(f *testing.F) {
 	f.Add(smallTemplate, smallWorkspace(`{"slots": 1}`))
 	f.Add(smallTemplate, smallWorkspace(`{"slots": "$slots", "once": ["*"]}`))
--- a/declare/decoder.go
+++ b/declare/decoder.go
@@ -10,21 +10,19 @@
 	"github.com/tailscale/hujson"
 )
 
-// decoder reads typed values out of nodes and gathers every problem, so that
-// an operator sees all of them at once. A method that finds a problem returns
-// the zero value.
+// decoder reads typed values from nodes and collects all problems, so that an operator sees
+// them at once. A method that finds a problem records it and returns the zero value.
 type decoder struct {
 	problems Problems
-	// params are the parameters that a "$name" may stand for; nil where
-	// references are not allowed.
+	// params are the parameters that a "$name" reference may name; nil where references are not
+	// allowed.
 	params map[string]binding
 }
 
-// binding is a declared parameter and the value given to it.
+// binding is a declared parameter and its value.
 type binding struct {
 	typ Type
-	// value is absent while a template is checked and the parameter has no
-	// default.
+	// value is absent if a template is checked on its own and the parameter has no default.
 	value node
 }
 
@@ -40,8 +38,8 @@
 	d.problems = append(d.problems, p)
 }
 
-// resolve replaces a "$name" by the value of the parameter, which must have
-// the type of the field.
+// resolve replaces a "$name" reference with the value of the parameter, which must have the
+// type that the field expects.
 func (d *decoder) resolve(n node, want Type) node {
 	name, ok := reference(n)
 	if !ok || d.params == nil {
@@ -59,7 +57,7 @@
 	return b.value
 }
 
-// reference returns the parameter that a node names.
+// reference returns the name of the parameter that a node refers to.
 func reference(n node) (string, bool) {
 	if n.kind() != '"' {
 		return "", false
@@ -67,7 +65,7 @@
 	return strings.CutPrefix(n.text(), "$")
 }
 
-// object holds the fields of one object, with defaults for those absent.
+// object holds the fields of one object, and defaults for absent fields.
 type object struct {
 	d        *decoder
 	at       node
@@ -75,8 +73,8 @@
 	defaults map[string]node
 }
 
-// object reads an object whose fields must be among the known ones; with no
-// known names every name is taken.
+// object decodes an object whose field names must be among known; without known names, every
+// name is accepted.
 func (d *decoder) object(n node, known ...string) object {
 	o := object{d: d, at: n, fields: make(map[string]node)}
 	if n.absent() {
@@ -95,7 +93,7 @@
 			d.fail(node{src: n.src, field: child.field, value: &m.Name}, "unknown field")
 			continue
 		}
-		if _, twice := o.fields[name]; twice {
+		if _, duplicate := o.fields[name]; duplicate {
 			d.fail(child, "field appears twice")
 			continue
 		}
@@ -114,8 +112,7 @@
 	return out
 }
 
-// optional returns a field, or the zero node if neither the object nor its
-// defaults have it.
+// optional returns a field, its default, or the zero node if there is neither.
 func (o object) optional(name string) node {
 	if n, ok := o.fields[name]; ok {
 		return n
@@ -123,7 +120,7 @@
 	return o.defaults[name]
 }
 
-// required returns a field and reports a problem if it is absent.
+// required returns a field and records a problem if it is absent.
 func (o object) required(name string) node {
 	n := o.optional(name)
 	if n.absent() {
@@ -132,19 +129,19 @@
 	return n
 }
 
-// limits are the values that a field itself admits, inclusive.
+// limits is the inclusive range of values that a field accepts.
 type limits struct{ min, max float64 }
 
-func (d *decoder) check(n node, v float64, l limits, show func(float64) string) bool {
+func (d *decoder) check(n node, v float64, l limits, format func(float64) string) bool {
 	if v < l.min || v > l.max {
-		d.fail(n, "%s is not between %s and %s", show(v), show(l.min), show(l.max))
+		d.fail(n, "%s is not between %s and %s", format(v), format(l.min), format(l.max))
 		return false
 	}
 	return true
 }
 
-func showNumber(v float64) string   { return strconv.FormatFloat(v, 'f', -1, 64) }
-func showDuration(v float64) string { return time.Duration(v).String() }
+func formatNumber(v float64) string   { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatDuration(v float64) string { return time.Duration(v).String() }
 
 func (d *decoder) text(n node, typ Type) string {
 	n = d.resolve(n, typ)
@@ -180,7 +177,7 @@
 		d.fail(n, "want a whole number")
 		return 0
 	}
-	if !d.check(n, float64(v), l, showNumber) {
+	if !d.check(n, float64(v), l, formatNumber) {
 		return 0
 	}
 	return v
@@ -196,7 +193,7 @@
 		d.fail(n, "want a number")
 		return 0
 	}
-	if !d.check(n, v, l, showNumber) {
+	if !d.check(n, v, l, formatNumber) {
 		return 0
 	}
 	return v
@@ -212,13 +209,13 @@
 		d.fail(n, `want a duration such as "250ms" or "30s"`)
 		return 0
 	}
-	if !d.check(n, float64(v), l, showDuration) {
+	if !d.check(n, float64(v), l, formatDuration) {
 		return 0
 	}
 	return v
 }
 
-// size reads a number of bytes such as "64KiB".
+// size decodes a number of bytes such as "64KiB".
 func (d *decoder) size(n node, l limits) int64 {
 	n = d.resolve(n, TypeSize)
 	if n.absent() {
@@ -229,7 +226,7 @@
 		d.fail(n, `want a size such as "0B", "64KiB" or "16MiB"`)
 		return 0
 	}
-	if !d.check(n, float64(v), l, showNumber) {
+	if !d.check(n, float64(v), l, formatNumber) {
 		return 0
 	}
 	return v
@@ -241,7 +238,7 @@
 }{{"GiB", 1 << 30}, {"MiB", 1 << 20}, {"KiB", 1 << 10}, {"B", 1}}
 
 func parseSize(s string) (int64, bool) {
-	const largest = 1 << 20 // of any unit, so that the product can not overflow
+	const largest = 1 << 20 // count of any unit, so that the product can not overflow
 	for _, u := range sizeUnits {
 		digits, ok := strings.CutSuffix(s, u.suffix)
 		if !ok {
@@ -256,7 +253,7 @@
 	return 0, false
 }
 
-// strings reads a list of different strings.
+// strings decodes a list of distinct strings.
 func (d *decoder) strings(n node, typ Type) []string {
 	n = d.resolve(n, typ)
 	if n.absent() {
--- a/declare/diff.go
+++ b/declare/diff.go
@@ -12,7 +12,7 @@
 type Difference struct {
 	// Field is the path of the field, such as services.bids.timeout.
 	Field string `json:"field"`
-	// Old and New are the values as text; empty means that it is not there.
+	// Old and New are the formatted values; empty means that the field is absent.
 	Old string `json:"old,omitempty"`
 	New string `json:"new,omitempty"`
 }
@@ -29,8 +29,8 @@
 	}
 }
 
-// Diff returns the fields in which two workspaces differ, sorted. Versions are
-// not compared. Nil stands for a workspace that does not exist.
+// Diff returns the fields in which two workspaces differ, sorted by path. Workspace versions
+// are not compared. Nil means that the workspace does not exist.
 func Diff(before, after *Workspace) []Difference {
 	a, b := flatten(before), flatten(after)
 	var out []Difference
@@ -48,13 +48,13 @@
 	return out
 }
 
-// flatten returns the fields of a workspace as text by path.
+// flatten returns the formatted fields of a workspace by path.
 func flatten(w *Workspace) map[string]string {
 	out := make(map[string]string)
 	if w == nil {
 		return out
 	}
-	put := func(field string, v any) { out[field] = show(v) }
+	put := func(field string, v any) { out[field] = formatValue(v) }
 	put("template", w.Template)
 	put("templateVersion", w.TemplateVersion)
 	put("hostNames", w.HostNames)
@@ -66,7 +66,7 @@
 		s := &w.Services[i]
 		p := "services." + s.Name + "."
 		put(p+"pathPrefix", s.PathPrefix)
-		put(p+"atMostOnce", callNames(s.AtMostOnce))
+		put(p+"atMostOnce", ruleStrings(s.AtMostOnce))
 		put(p+"requireKey", s.RequireKey)
 		put(p+"slots", s.Slots)
 		put(p+"maxConns", s.MaxConns)
@@ -81,7 +81,7 @@
 	return out
 }
 
-func callNames(rules []CallRule) []string {
+func ruleStrings(rules []CallRule) []string {
 	out := make([]string, 0, len(rules))
 	for _, r := range rules {
 		out = append(out, r.String())
@@ -89,8 +89,8 @@
 	return out
 }
 
-// show returns a value as text that is never empty.
-func show(v any) string {
+// formatValue formats a value as text that is never empty.
+func formatValue(v any) string {
 	if d, ok := v.(time.Duration); ok {
 		return d.String()
 	}
--- a/declare/parameter.go
+++ b/declare/parameter.go
@@ -8,21 +8,21 @@
 // Type is the type of a parameter.
 type Type string
 
-// The types of parameters and how a file writes their values.
+// Types of parameters and their syntax in configuration files.
 const (
-	// TypeInt is a whole number.
+	// TypeInt is an integer.
 	TypeInt Type = "int"
 	// TypeRatio is a number.
 	TypeRatio Type = "ratio"
 	// TypeDuration is a string such as "250ms".
 	TypeDuration Type = "duration"
-	// TypeSize is a number of bytes in a string such as "64KiB".
+	// TypeSize is a string with a number of bytes, such as "64KiB".
 	TypeSize Type = "size"
 	// TypeBool is true or false.
 	TypeBool Type = "bool"
 	// TypeString is a string.
 	TypeString Type = "string"
-	// TypeStrings is a list of different strings.
+	// TypeStrings is a list of distinct strings.
 	TypeStrings Type = "strings"
 	// TypeCalls is a list of calls such as "POST /bids"; see CallRule.
 	TypeCalls Type = "calls"
@@ -30,25 +30,25 @@
 
 var types = []Type{TypeInt, TypeRatio, TypeDuration, TypeSize, TypeBool, TypeString, TypeStrings, TypeCalls}
 
-// unbounded are the types whose values need no min and max.
+// unbounded lists the types that do not require min and max.
 var unbounded = []Type{TypeBool, TypeString}
 
-// parameter is a parameter that a template declares.
+// parameter is the declaration of a parameter in a template.
 type parameter struct {
 	name string
 	typ  Type
-	// min and max bound the value, or the length of a list.
+	// min and max limit the value, or the length of a string or list.
 	min, max node
-	// oneOf lists the strings admitted; nil admits all.
+	// oneOf lists the allowed strings; nil allows all.
 	oneOf []string
-	// includes lists the strings that a list must hold.
-	includes []string
-	fallback node
+	// includes lists the strings that a list must contain.
+	includes     []string
+	defaultValue node
 }
 
 func (d *decoder) parameter(name string, n node) parameter {
 	o := d.object(n, "type", "description", "min", "max", "oneOf", "includes", "default")
-	p := parameter{name: name, min: o.optional("min"), max: o.optional("max"), fallback: o.optional("default")}
+	p := parameter{name: name, min: o.optional("min"), max: o.optional("max"), defaultValue: o.optional("default")}
 	d.text(o.optional("description"), TypeString)
 	p.typ = Type(d.text(o.required("type"), TypeString))
 	if !slices.Contains(types, p.typ) {
@@ -59,11 +59,11 @@
 		o.required("min")
 		o.required("max")
 	}
-	d.measure(p.min, p.boundType())
-	d.measure(p.max, p.boundType())
+	d.magnitude(p.min, p.boundType())
+	d.magnitude(p.max, p.boundType())
 	p.oneOf = d.strings(o.optional("oneOf"), TypeStrings)
 	p.includes = d.strings(o.optional("includes"), TypeStrings)
-	d.value(p, p.fallback)
+	d.checkValue(p, p.defaultValue)
 	return p
 }
 
@@ -75,7 +75,7 @@
 	return strings.Join(names, ", ")
 }
 
-// boundType is the type of min and max: lists are bounded by their length.
+// boundType returns the type of min and max. Strings and lists are limited by their length.
 func (p parameter) boundType() Type {
 	switch p.typ {
 	case TypeStrings, TypeCalls, TypeString:
@@ -85,20 +85,20 @@
 	}
 }
 
-// anyNumber admits every value that a bound can hold exactly.
-var anyNumber = limits{min: -1 << 53, max: 1 << 53}
+// exactLimits allows all values that a float64 represents exactly.
+var exactLimits = limits{min: -1 << 53, max: 1 << 53}
 
-// measure returns the number that min and max are compared with.
-func (d *decoder) measure(n node, typ Type) float64 {
+// magnitude returns the number that is compared with min and max.
+func (d *decoder) magnitude(n node, typ Type) float64 {
 	switch typ {
 	case TypeInt:
-		return float64(d.integer(n, anyNumber))
+		return float64(d.integer(n, exactLimits))
 	case TypeRatio:
-		return d.ratio(n, anyNumber)
+		return d.ratio(n, exactLimits)
 	case TypeDuration:
-		return float64(d.duration(n, anyNumber))
+		return float64(d.duration(n, exactLimits))
 	case TypeSize:
-		return float64(d.size(n, anyNumber))
+		return float64(d.size(n, exactLimits))
 	case TypeBool:
 		d.boolean(n)
 		return 0
@@ -111,35 +111,36 @@
 	}
 }
 
-// value checks a value, a workspace's or the default, against the parameter.
-func (d *decoder) value(p parameter, n node) {
+// checkValue checks a value, either the default or set by a workspace, against the
+// parameter.
+func (d *decoder) checkValue(p parameter, n node) {
 	if n.absent() {
 		return
 	}
 	before := len(d.problems)
-	got := d.measure(n, p.typ)
+	got := d.magnitude(n, p.typ)
 	if len(d.problems) > before {
 		return
 	}
-	if !p.min.absent() && got < d.measure(p.min, p.boundType()) {
-		d.fail(n, "%s below the least allowed, %s", p.subject(), p.min.text())
+	if !p.min.absent() && got < d.magnitude(p.min, p.boundType()) {
+		d.fail(n, "%s below the least allowed, %s", p.boundedSubject(), p.min.text())
 	}
-	if !p.max.absent() && got > d.measure(p.max, p.boundType()) {
-		d.fail(n, "%s above the most allowed, %s", p.subject(), p.max.text())
+	if !p.max.absent() && got > d.magnitude(p.max, p.boundType()) {
+		d.fail(n, "%s above the most allowed, %s", p.boundedSubject(), p.max.text())
 	}
-	d.members(p, n)
+	d.checkStrings(p, n)
 }
 
-// subject says what of a value min and max bound.
-func (p parameter) subject() string {
+// boundedSubject returns the start of an error message: what min and max limit.
+func (p parameter) boundedSubject() string {
 	if p.boundType() != p.typ {
 		return "length is"
 	}
 	return "value is"
 }
 
-// members checks the strings of a value against oneOf and includes.
-func (d *decoder) members(p parameter, n node) {
+// checkStrings checks the strings of a value against oneOf and includes.
+func (d *decoder) checkStrings(p parameter, n node) {
 	var got []string
 	switch p.typ {
 	case TypeString:
--- a/declare/problem.go
+++ b/declare/problem.go
@@ -5,19 +5,18 @@
 	"strings"
 )
 
-// Problem is one fault in a declaration, at the place where an operator can
-// mend it.
+// Problem is one error in a template or workspace file, at the place where an operator can
+// fix it.
 type Problem struct {
 	File string `json:"file"`
 	// Line counts from 1.
 	Line int `json:"line"`
-	// Field is the path of the field, such as services.bids.timeout; it is
-	// empty for the file as a whole.
+	// Field is the path of the field, such as services.bids.timeout; empty for the whole file.
 	Field   string `json:"field,omitempty"`
 	Message string `json:"message"`
 }
 
-// String returns file:line: field: message.
+// String returns "file:line: field: message".
 func (p Problem) String() string {
 	if p.Field == "" {
 		return fmt.Sprintf("%s:%d: %s", p.File, p.Line, p.Message)
@@ -25,11 +24,10 @@
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Field, p.Message)
 }
 
-// Problems is all faults found in a declaration; as an error it holds at least
-// one.
+// Problems holds all errors found in a file. As an error it is never empty.
 type Problems []Problem
 
-// Error returns one problem a line.
+// Error returns one problem per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
--- a/declare/source.go
+++ b/declare/source.go
@@ -9,24 +9,23 @@
 	"github.com/tailscale/hujson"
 )
 
-// MaxFileSize bounds a template or workspace file, in bytes. The parser
+// MaxFileSize is the maximum size of a template or workspace file, in bytes. The parser
 // recurses into nested values, so an unbounded file could exhaust the stack.
 const MaxFileSize = 256 << 10
 
-// source is one parsed file.
+// source is a file that is being parsed.
 type source struct {
 	file string
 	text []byte
 }
 
-// line returns the line of a byte offset, from 1.
+// line returns the line number of a byte offset, starting at 1.
 func (s *source) line(offset int) int {
 	offset = min(max(offset, 0), len(s.text))
 	return 1 + bytes.Count(s.text[:offset], []byte("\n"))
 }
 
-// node is a value in a file with the path that leads to it. The zero node
-// stands for a field that is absent.
+// node is a value in a file, with its path. The zero node represents an absent field.
 type node struct {
 	src   *source
 	field string
@@ -42,7 +41,7 @@
 	return n.value.Value.Kind()
 }
 
-// text returns the string, or the raw number, of a literal.
+// text returns the value of a string, or the source text of a number.
 func (n node) text() string {
 	if lit, ok := n.value.Value.(hujson.Literal); ok {
 		return lit.String()
@@ -71,7 +70,7 @@
 	return out
 }
 
-// parseFile returns the top value of a file, which must be an object.
+// parseFile parses a file, whose top-level value must be an object.
 func parseFile(file string, text []byte) (node, error) {
 	src := &source{file: file, text: bytes.Clone(text)}
 	if len(text) > MaxFileSize {
@@ -89,8 +88,8 @@
 	return n, nil
 }
 
-// splitSyntaxError takes the line out of the parser's message, which reads
-// "hujson: line 3, column 7: ...".
+// splitSyntaxError extracts the line number from the parser's message, which reads "hujson:
+// line 3, column 7: ...".
 func splitSyntaxError(err error) (line int, msg string) {
 	msg = strings.TrimPrefix(err.Error(), "hujson: ")
 	if _, scanErr := fmt.Sscanf(msg, "line %d,", &line); scanErr != nil {
--- a/declare/template.go
+++ b/declare/template.go
@@ -4,19 +4,19 @@
 	"slices"
 )
 
-// Template is a checked template: what workspaces of one kind share, and the
-// parameters in which they differ.
+// Template is a checked template: the configuration shared by workspaces of one kind, and
+// the parameters in which they differ.
 type Template struct {
 	Name    string
 	Version uint64
-	// Text is the file it was read from.
+	// Text is the content of the file.
 	Text []byte
 
 	params map[string]parameter
 	body   node
 }
 
-// ParseTemplate reads and checks a template. The error is Problems.
+// ParseTemplate parses and checks a template. The error is Problems.
 func ParseTemplate(file string, text []byte) (*Template, error) {
 	top, err := parseFile(file, text)
 	if err != nil {
@@ -40,12 +40,12 @@
 	return t, nil
 }
 
-// checkBody checks the body with the defaults in place of the parameters, and
-// that every parameter is used.
+// checkBody checks the body with the parameters set to their defaults, and that every
+// parameter is used.
 func (d *decoder) checkBody(t *Template, params object) {
 	d.params = make(map[string]binding, len(t.params))
 	for name, p := range t.params {
-		d.params[name] = binding{typ: p.typ, value: p.fallback}
+		d.params[name] = binding{typ: p.typ, value: p.defaultValue}
 	}
 	if !t.body.absent() {
 		d.workspace(t.body, true)
@@ -58,7 +58,7 @@
 	}
 }
 
-// references returns the parameters that the strings of a value name.
+// references returns the parameters that the strings in a value refer to.
 func references(n node) []string {
 	if n.absent() {
 		return nil
@@ -72,13 +72,13 @@
 	return out
 }
 
-// Declaration is a checked workspace file: a template, its version, and values
-// for its parameters.
+// Declaration is a parsed workspace file: the name and version of a template, and values for
+// its parameters.
 type Declaration struct {
 	Workspace       string
 	Template        string
 	TemplateVersion uint64
-	// File is the name of the file and Text what it holds.
+	// File is the name of the file and Text its content.
 	File string
 	Text []byte
 
@@ -86,8 +86,8 @@
 	parameters node
 }
 
-// ParseWorkspace reads a workspace file. Its parameters are checked by Expand,
-// against the template. The error is Problems.
+// ParseWorkspace parses a workspace file. Its parameters are checked against the template by
+// Template.Expand. The error is Problems.
 func ParseWorkspace(file string, text []byte) (*Declaration, error) {
 	top, err := parseFile(file, text)
 	if err != nil {
@@ -106,9 +106,8 @@
 	return w, nil
 }
 
-// Expand fills the template with the parameters of a workspace. The result has
-// no Version yet: that is given when the change is accepted. The error is
-// Problems.
+// Expand applies the parameters of a workspace to the template. The result has no Version,
+// which is assigned when the change is accepted. The error is Problems.
 func (t *Template) Expand(w *Declaration) (Workspace, error) {
 	d := new(decoder)
 	if w.Template != t.Name || w.TemplateVersion != t.Version {
@@ -129,7 +128,7 @@
 	return ws, nil
 }
 
-// bind checks the workspace's values and joins them with the defaults.
+// bind checks the workspace's values and combines them with the defaults.
 func (t *Template) bind(d *decoder, w *Declaration) map[string]binding {
 	given := d.object(w.parameters)
 	for _, name := range given.names() {
@@ -141,12 +140,12 @@
 	for name, p := range t.params {
 		value := given.optional(name)
 		if value.absent() {
-			value = p.fallback
+			value = p.defaultValue
 		}
 		if value.absent() {
 			d.fail(node{src: w.top.src, field: "parameters." + name, value: w.top.value}, "parameter has no default and is missing")
 		}
-		d.value(p, value)
+		d.checkValue(p, value)
 		bound[name] = binding{typ: p.typ, value: value}
 	}
 	slices.SortFunc(d.problems, compareProblems)
