--- a/peer/inbound.go
+++ b/peer/inbound.go
@@ -120,11 +120,9 @@
 	}
 	in.mu.Unlock()
 	if full {
-		// The peer sends requests and reads no replies. Closing tells it that
-		// none will come; keeping them would cost this host its memory.
-		in.node.count.replyQueueFull.Add(1)
 		// The peer sends requests without reading the replies. Closing the connection fails its
 		// pending calls; keeping the replies would use up this host's memory.
+		in.node.count.replyQueueFull.Add(1)
 		_ = in.s.conn.Close()
 		return
 	}
