--- a/explain/explain.go
+++ b/explain/explain.go
@@ -82,21 +82,21 @@
 		all = append(all, lines...)
 	}
 	slices.SortStableFunc(all, func(a, b Line) int { return a.At.Compare(b.At) })
-	var s Timeline
+	var tl Timeline
 	for _, l := range all {
 		if l.Message() == "call" && l.Fields["request"] == id {
-			s.Calls = append(s.Calls, l)
+			tl.Calls = append(tl.Calls, l)
 		}
 	}
-	if len(s.Calls) == 0 {
-		return s, ErrNotFound
+	if len(tl.Calls) == 0 {
+		return tl, ErrNotFound
 	}
 	for _, l := range all {
-		if l.Message() != "call" && s.relevant(l) {
-			s.Context = append(s.Context, l)
+		if l.Message() != "call" && tl.relevant(l) {
+			tl.Context = append(tl.Context, l)
 		}
 	}
-	return s, nil
+	return tl, nil
 }
 
 func read(r io.Reader) ([]Line, error) {
@@ -121,8 +121,8 @@
 }
 
 // relevant reports whether a line may be related to the request.
-func (s *Timeline) relevant(l Line) bool {
-	for _, c := range s.Calls {
+func (tl *Timeline) relevant(l Line) bool {
+	for _, c := range tl.Calls {
 		took, _ := time.ParseDuration(c.Fields["took"])
 		arrived := c.At.Add(-took)
 		if l.At.Before(arrived.Add(-contextBefore)) || l.At.After(c.At.Add(contextAfter)) {
@@ -140,8 +140,8 @@
 
 // Write writes the lines in chronological order; those of the request itself are marked with
 // ">".
-func (s *Timeline) Write(w io.Writer) error {
-	lines := slices.Concat(s.Context, s.Calls)
+func (tl *Timeline) Write(w io.Writer) error {
+	lines := slices.Concat(tl.Context, tl.Calls)
 	slices.SortStableFunc(lines, func(a, b Line) int {
 		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Fields["host"], b.Fields["host"]))
 	})
