--- a/blackboard/board.go
+++ b/blackboard/board.go
@@ -20,14 +20,17 @@
 	TopicEvacuations Topic = "evacuations"
 )
 
-// Board is the state shared by the controllers of one daemon. Each section has the writers
-// that its field names; all other packages only read it.
+// Board is the state shared by the controllers of one daemon. The comment of each section
+// names the packages that write it.
 type Board struct {
 	// Config is the active configuration; written by controller/config.
 	Config *Section[*declare.Config]
-	// Members is this host's view of the entry hosts; written by controller/membership.
+	// Members is this host's view of the entry hosts; written by controller/membership, or by
+	// controller/watch on platforms that configure routes.
 	Members *Section[*Members]
-	// Targets is this host's view of all targets; written by controller/targets.
+	// Targets is this host's view of all targets; written by controller/targets, or by
+	// controller/watch on platforms that configure routes. The daemon marks targets in it that
+	// announce their shutdown.
 	Targets *Section[*Targets]
 	// Status is the state that this host reports of itself; written by controller/config,
 	// controller/leave, controller/targets and controller/watch.
