--- a/backpressure/backoff.go
+++ b/backpressure/backoff.go
@@ -42,9 +42,9 @@
 		r.byService[service] = make(map[ports.HostID]backoff)
 	}
 	old := r.byService[service][t.ID]
-	active := old.run == t.Run() && now.Before(old.until)
+	active := old.run == t.RunID() && now.Before(old.until)
 	if !active || until.After(old.until) {
-		r.byService[service][t.ID] = backoff{t.Run(), until}
+		r.byService[service][t.ID] = backoff{t.RunID(), until}
 	}
 	return !active
 }
@@ -61,7 +61,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	old := r.byService[service][t.ID]
-	return old.run == t.Run() && time.Now().Before(old.until)
+	return old.run == t.RunID() && time.Now().Before(old.until)
 }
 
 // of returns the targets of a service that are backed off, and when the first of these pauses
@@ -89,5 +89,5 @@
 	i, found := slices.BinarySearchFunc(list, id, func(t blackboard.Target, id ports.HostID) int {
 		return cmp.Compare(t.ID, id)
 	})
-	return found && list[i].Run() != run
+	return found && list[i].RunID() != run
 }
--- a/backpressure/backpressure.go
+++ b/backpressure/backpressure.go
@@ -163,7 +163,7 @@
 
 // mustAvoid reports whether a target must get no requests because it is leaving or backed off.
 func (p *Picker) mustAvoid(service blackboard.ServiceKey, t blackboard.Target) bool {
-	if p.leaving.has(t.Run()) {
+	if p.leaving.has(t.RunID()) {
 		p.markLeaving(service, t)
 		return true
 	}
@@ -204,12 +204,12 @@
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
 	a := p.quotas.Acquire(ctx, policy.Request{
-		Name:      string(t.Run()),
+		Name:      string(t.RunID()),
 		Zone:      countingZone(t.Zone, p.deps.Board.Members.Load()),
 		Remaining: -1,
-		Observed:  p.limits.Observed(string(t.Run())),
+		Observed:  p.limits.Observed(string(t.RunID())),
 	})
-	limit, _ := p.limits.Limit(string(t.Run()))
+	limit, _ := p.limits.Limit(string(t.RunID()))
 	switch {
 	case a.Granted, !a.Known && limit.Rate == 0:
 		p.count.limited.Add(1)
@@ -225,19 +225,19 @@
 
 // HandleSignals records the signals of a target; it is a pick.SignalHandler.
 func (p *Picker) HandleSignals(service blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
-	if s.Leaving && p.leaving.add(t.Run()) {
-		p.log.info("target leaving by its own answer", zap.String("target", string(t.Run())), zap.String("service", service.Service))
+	if s.Leaving && p.leaving.add(t.RunID()) {
+		p.log.info("target leaving by its own answer", zap.String("target", string(t.RunID())), zap.String("service", service.Service))
 		p.markLeaving(service, t)
 	}
 	if s.RetryAfter > 0 {
 		p.count.backoffs.Add(1)
 		if p.backoffs.add(service, t, s.RetryAfter) {
-			p.log.info("target asks for rest", zap.String("target", string(t.Run())), zap.String("service", service.Service),
+			p.log.info("target asks for rest", zap.String("target", string(t.RunID())), zap.String("service", service.Service),
 				zap.Duration("rest", s.RetryAfter))
 		}
 	}
 	if p.limits.RecordSignals(service, t, s) {
-		p.quotas.NotifyOwner(string(t.Run()), countingZone(t.Zone, p.deps.Board.Members.Load()))
+		p.quotas.NotifyOwner(string(t.RunID()), countingZone(t.Zone, p.deps.Board.Members.Load()))
 	}
 }
 
@@ -296,7 +296,7 @@
 		return refusal
 	}
 	r := p.refuse(service)
-	r.Why = refusal.Why
+	r.Detail = refusal.Detail
 	return r
 }
 
@@ -350,7 +350,7 @@
 // Release implements pick.Grant. A request that never left this host is returned to the limit.
 func (h *heldGrant) Release(r pick.Report) {
 	if h.perSecond > 0 && r.Class == pick.NotSent {
-		h.picker.quotas.Return(string(h.Target().Run()))
+		h.picker.quotas.Return(string(h.Target().RunID()))
 	}
 	h.Grant.Release(r)
 }
--- a/backpressure/limits.go
+++ b/backpressure/limits.go
@@ -78,13 +78,13 @@
 		l.count.named.Add(1)
 	}
 	now := time.Now()
-	before, recorded := l.record(t.Run(), limitReport{s.Limit, now, service})
+	before, recorded := l.record(t.RunID(), limitReport{s.Limit, now, service})
 	if !recorded {
 		return false
 	}
 	changed := before.limit != s.Limit
 	if changed {
-		l.logChange(t.Run(), before.limit, s.Limit, "answer")
+		l.logChange(t.RunID(), before.limit, s.Limit, "answer")
 	}
 	return changed || s.Limit.Named && now.Sub(before.at) > refreshAfter
 }
--- a/controller/watch/publish.go
+++ b/controller/watch/publish.go
@@ -142,7 +142,7 @@
 		case t.Draining:
 			message = "target leaving"
 		}
-		c.deps.Log.Info(message, zap.String("target", string(ports.Run(t.ID, t.Incarnation))), zap.String("service", t.Service),
+		c.deps.Log.Info(message, zap.String("target", string(ports.NewRunID(t.ID, t.Incarnation))), zap.String("service", t.Service),
 			zap.Stringer("revision", t.Revision), zap.Duration("hold", ch.Hold), zap.String("from", string(from)))
 	}
 }
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -78,7 +78,7 @@
 		a.end(a.class)
 		return a
 	}
-	p.quarantineAttempt.Started(p.grant.Target().Run())
+	p.quarantineAttempt.Started(p.grant.Target().RunID())
 	req := d.newRequest(ctx, c, p.grant.Target())
 	res := d.upstream.RoundTrip(req, p.grant.Target(), upstream.SendOptions{
 		MaxConns:      d.connShare(c),
@@ -279,7 +279,7 @@
 	case pick.NotSent:
 		// The target is unreachable, so requests in flight on it may have failed for that
 		// reason and not because one of them crashed it.
-		a.quarantineAttempt.ConnectFailed(a.grant.Target().Run())
+		a.quarantineAttempt.ConnectFailed(a.grant.Target().RunID())
 		a.quarantineAttempt.Close()
 	default:
 		a.quarantineAttempt.Close()
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -146,7 +146,7 @@
 		if g == nil {
 			qa.Close()
 			r := h.fallbackReply(refusal.Reason, refusal.RetryAfter)
-			r.Result.Why = refusal.Why
+			r.Result.Detail = refusal.Detail
 			return r
 		}
 		if !c.authorized() {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -35,8 +35,8 @@
 
 // Upkeep forgets targets that are gone, and closes connections idle for long.
 type Upkeep struct {
-	Board      *blackboard.Board
-	Pools      *upstream.Pools
+	Board *blackboard.Board
+	Pools *upstream.Pools
 	Quarantine *quarantine.Quarantine
 }
 
@@ -60,7 +60,7 @@
 	for _, list := range u.Board.Targets.Load().ByService {
 		for _, t := range list {
 			listed[t.ID] = true
-			runs[t.Run()] = true
+			runs[t.RunID()] = true
 		}
 	}
 	u.Pools.Retain(func(id ports.HostID) bool { return listed[id] })
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -33,7 +33,7 @@
 
 // Deps are the dependencies of a Placer.
 type Deps struct {
-	Board    *blackboard.Board
+	Board *blackboard.Board
 	Upstream upstream.RoundTripper
 	Contract *targetapi.Contract
 	// Probes limits the probes that this host sends.
@@ -41,10 +41,10 @@
 	// Regions maps availability zones to their regions.
 	Regions Regions
 	// Zone is this host's availability zone.
-	Zone    string
-	Seed    uint64
+	Zone string
+	Seed uint64
 	Metrics *metrics.Set
-	Log     *zap.Logger
+	Log *zap.Logger
 	// OnLeaving, if set, is called when a response shows that its target is leaving. It must
 	// not block.
 	OnLeaving func(blackboard.ServiceKey, blackboard.Target)
@@ -54,11 +54,11 @@
 
 // Placer is a pick.Picker that chooses targets by probing. It is safe for concurrent use.
 type Placer struct {
-	deps  Deps
+	deps Deps
 	count counters
 
-	mu       sync.Mutex
-	rng      *rand.Rand
+	mu sync.Mutex
+	rng *rand.Rand
 	services map[blackboard.ServiceKey]*service
 }
 
@@ -67,9 +67,9 @@
 // New returns a Placer. It reads targets, routes and members from the board on each choice.
 func New(d Deps) *Placer {
 	return &Placer{
-		deps:     d,
-		count:    newCounters(d.Metrics),
-		rng:      rand.New(rand.NewPCG(d.Seed, 5)),
+		deps: d,
+		count: newCounters(d.Metrics),
+		rng: rand.New(rand.NewPCG(d.Seed, 5)),
 		services: make(map[blackboard.ServiceKey]*service),
 	}
 }
@@ -80,15 +80,15 @@
 	s := p.services[key]
 	if s == nil {
 		s = &service{
-			key:     key,
-			zone:    p.deps.Zone,
-			board:   p.deps.Board,
+			key: key,
+			zone: p.deps.Zone,
+			board: p.deps.Board,
 			regions: p.deps.Regions,
-			rng:     rand.New(rand.NewPCG(p.rng.Uint64(), 6)),
-			near:    placement.NewBaseline(),
-			far:     placement.NewBaseline(),
+			rng: rand.New(rand.NewPCG(p.rng.Uint64(), 6)),
+			near: placement.NewBaseline(),
+			far: placement.NewBaseline(),
 			targets: make(map[ports.HostID]*target),
-			subset:  placement.Subset{Seed: p.rng.Uint64()},
+			subset: placement.Subset{Seed: p.rng.Uint64()},
 		}
 		p.services[key] = s
 	}
@@ -179,7 +179,7 @@
 		return nil, ""
 	}
 	if t.info.Evacuated {
-		invariant.Check(false, invariant.EvacuatedIdle, "%s", t.info.Run())
+		invariant.Check(false, invariant.EvacuatedIdle, "%s", t.info.RunID())
 	}
 	basis := pick.Basis{Cost: cost, Age: t.figures.Age(now), LoadUnreported: s.reportsNoLoad()}
 	if s.coldLimited(now, t) {
@@ -202,22 +202,22 @@
 func (p *Placer) refuse(r outcome.Reason, why string) outcome.Result {
 	p.count.refused.Add(string(r), 1)
 	res := outcome.Refuse(r)
-	res.Why = why
+	res.Detail = why
 	return res
 }
 
 // heldGrant is a grant that was handed to a caller. It implements pick.Grant and
 // pick.Explainer.
 type heldGrant struct {
-	placer  *Placer
+	placer *Placer
 	service *service
-	target  *target
-	info    blackboard.Target
+	target *target
+	info blackboard.Target
 	// expectedWork is the estimated duration of the call at the time of the choice, in units of
 	// the service's usual work time.
 	expectedWork float64
-	basis        pick.Basis
-	once         sync.Once
+	basis pick.Basis
+	once sync.Once
 }
 
 // Basis implements pick.Explainer.
@@ -273,7 +273,7 @@
 		p.count.lateResults.Add(1)
 	}
 	s.mu.Unlock()
-	p.logChange(change, s, h.info.Run())
+	p.logChange(change, s, h.info.RunID())
 	leaving := r.LeavingHint || r.Class == pick.Leaving
 	if leaving && p.deps.OnLeaving != nil {
 		p.deps.OnLeaving(s.key, h.info)
--- a/placer/restart_test.go
+++ b/placer/restart_test.go
@@ -20,8 +20,8 @@
 
 // testPlacer is a placer and the board that it reads its targets from.
 type testPlacer struct {
-	board        *blackboard.Board
-	p            *Placer
+	board *blackboard.Board
+	p *Placer
 	leavingHints []blackboard.Target
 }
 
@@ -29,10 +29,10 @@
 	l := &testPlacer{board: blackboard.New()}
 	t.Cleanup(func() { _ = l.board.Close() })
 	l.p = New(Deps{
-		Board:   l.board,
-		Probes:  NewProbeQuota(l.board, 60),
+		Board: l.board,
+		Probes: NewProbeQuota(l.board, 60),
 		Metrics: metrics.New(),
-		Log:     zap.NewNop(),
+		Log: zap.NewNop(),
 		OnLeaving: func(_ blackboard.ServiceKey, t blackboard.Target) {
 			l.leavingHints = append(l.leavingHints, t)
 		},
@@ -87,10 +87,10 @@
 	next := l.listRun(200, false)
 	call.Release(pick.Report{Class: pick.Leaving})
 	assert.Equal(t, len(l.leavingHints), 1)
-	view, changed := l.board.Targets.Load().WithLeaving(testKey, l.leavingHints[0].Run(), time.Now())
+	view, changed := l.board.Targets.Load().WithLeaving(testKey, l.leavingHints[0].RunID(), time.Now())
 	assert.Check(t, !changed && !view.ByService[testKey][0].Leaving)
 	assert.Check(t, next.available(time.Now()))
-	_, changed = l.board.Targets.Load().WithLeaving(testKey, next.info.Run(), time.Now())
+	_, changed = l.board.Targets.Load().WithLeaving(testKey, next.info.RunID(), time.Now())
 	assert.Check(t, changed)
 }
 
