--- a/operator/api.go
+++ b/operator/api.go
@@ -1,6 +1,7 @@
-// Package operator is the HTTP interface that operators drive: plan, apply,
-// status, history and rollback of the configuration, and the metrics. Package
-// operator/client speaks to it.
+// Package operator implements the HTTP API for operators: planning, applying and
+// rolling back configuration changes, their status and history, and the metrics.
+// Requests and replies are JSON; changes need a bearer token. Package
+// operator/client is the client.
 package operator
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/cactusproxy/cactusproxy/controller/config"
 )
 
-// Paths of the interface.
+// Paths of the API.
 const (
 	PathPlan     = "/v1/plan"
 	PathApply    = "/v1/apply"
@@ -20,7 +21,7 @@
 	PathMetrics  = "/metrics"
 )
 
-// MaxWait bounds the time that a change waits to be in force.
+// MaxWait bounds how long a request may wait for its change to be in force.
 const MaxWait = time.Minute
 
 // PlanRequest asks what applying a declaration would change.
@@ -29,21 +30,22 @@
 	Template  *config.File `json:"template,omitempty"`
 }
 
-// ApplyRequest asks for a workspace to become as declared.
+// ApplyRequest asks to change a workspace to its declaration.
 type ApplyRequest struct {
-	// ID identifies the change; the same ID never applies twice.
+	// ID identifies the change, so that a retry with the same ID applies only once.
 	ID  string `json:"id"`
 	Who string `json:"who"`
-	// Base is the workspace version that the plan was made against. It must be
-	// given, so that no change is overwritten unseen.
+	// Base is the workspace version that the plan was computed against. It is
+	// required, so that no concurrent change is overwritten.
 	Base      *uint64      `json:"base"`
 	Workspace config.File  `json:"workspace"`
 	Template  *config.File `json:"template,omitempty"`
-	// WaitMillis is how long to wait for the change to be in force everywhere.
+	// WaitMillis is how long to wait for the change to be in force on every host,
+	// in milliseconds, up to MaxWait; 0 does not wait.
 	WaitMillis int64 `json:"waitMillis,omitempty"`
 }
 
-// RollbackRequest asks for an earlier version of a workspace.
+// RollbackRequest asks to restore an earlier version of a workspace as a new change.
 type RollbackRequest struct {
 	ID         string  `json:"id"`
 	Who        string  `json:"who"`
@@ -53,25 +55,25 @@
 	WaitMillis int64   `json:"waitMillis,omitempty"`
 }
 
-// ChangeReply is the answer to ApplyRequest and RollbackRequest.
+// ChangeReply is the reply to ApplyRequest and RollbackRequest.
 type ChangeReply struct {
 	config.Outcome
-	// Status is set if the change was applied and the request waits.
+	// Status is set if the change was applied and the request asked to wait.
 	Status *config.Status `json:"status,omitempty"`
 }
 
-// HistoryReply holds changes, the newest first.
+// HistoryReply lists changes, newest first.
 type HistoryReply struct {
 	Changes []config.Change `json:"changes"`
 }
 
-// ErrorReply is the answer to a request that could not be understood, was not
-// allowed, or found the platform out.
+// ErrorReply is the reply to a request that was malformed or unauthorized, or that
+// failed because the platform was unavailable.
 type ErrorReply struct {
 	Error string `json:"error"`
 }
 
-// StatusOf returns the HTTP status that goes with a result.
+// StatusOf returns the HTTP status code for a result.
 func StatusOf(r config.Result) int {
 	switch r {
 	case config.ResultApplied, config.ResultUnchanged:
--- a/operator/client/cli.go
+++ b/operator/client/cli.go
@@ -92,7 +92,7 @@
 	out, err io.Writer
 }
 
-// Main runs cactusctl and returns its exit code.
+// Main runs cactusctl with its command-line arguments and returns the exit code.
 func Main(ctx context.Context, args []string, stdout, stderr io.Writer) int {
 	var a arguments
 	p, err := arg.NewParser(arg.Config{Program: "cactusctl", Out: stderr}, &a)
@@ -168,7 +168,7 @@
 	return ExitFailed
 }
 
-// files reads the workspace file and, if one is named, the template file.
+// files reads the workspace file and, if given, the template file.
 func (a planArgs) files() (config.File, *config.File, error) {
 	text, err := os.ReadFile(a.File)
 	if err != nil {
@@ -182,7 +182,7 @@
 	return workspace, &config.File{Name: a.Template, Text: string(text)}, err
 }
 
-// changeID returns the ID given, or a new one.
+// changeID returns the ID given on the command line, or a new one.
 func (a changeArgs) changeID() string {
 	if a.ID != "" {
 		return a.ID
@@ -190,7 +190,8 @@
 	return ulid.Make().String()
 }
 
-// waitMillis leaves the host time to answer before the client gives up.
+// waitMillis returns how long the host may wait for a change to be in force. Half of
+// the timeout is left for the host to reply before the client gives up.
 func (c *command) waitMillis(a changeArgs) int64 {
 	if !a.Wait {
 		return 0
--- a/operator/client/client.go
+++ b/operator/client/client.go
@@ -1,5 +1,5 @@
-// Package client speaks to the operators' interface of a cactusproxy host and
-// holds the logic of cactusctl.
+// Package client is a client of the operator API of a cactusproxy host. Client sends
+// the requests, and Main implements the cactusctl command with it.
 package client
 
 import (
@@ -21,27 +21,27 @@
 	"github.com/cactusproxy/cactusproxy/operator"
 )
 
-// maxReply bounds a reply, in bytes.
+// maxReply bounds a reply body, in bytes.
 const maxReply = 64 << 20
 
-// Attempts of a change whose answer was lost, and the wait between them.
+// Number of attempts at a change whose reply is lost, and the delay between them.
 const (
-	changeAttempts = 3
-	changeRetry    = 500 * time.Millisecond
+	changeAttempts   = 3
+	changeRetryDelay = 500 * time.Millisecond
 )
 
-// Client speaks to one host. Any host takes any request.
+// Client sends requests to one host. Every host accepts every request.
 type Client struct {
-	// Addr is host:port or a URL.
+	// Addr is host:port or a base URL.
 	Addr string
 	// Token is needed for changes.
 	Token string
-	// HTTP is http.DefaultClient if nil.
+	// HTTP sends the requests; nil means http.DefaultClient.
 	HTTP *http.Client
 }
 
-// ErrRefused says that the host refused the request; the error's text is the
-// host's.
+// ErrRefused marks errors of requests that the host refused. The text of such an
+// error is the host's.
 var ErrRefused = errors.New("request refused")
 
 // Plan asks what applying a declaration would change.
@@ -50,24 +50,26 @@
 	return out, c.do(ctx, http.MethodPost, operator.PathPlan, req, &out)
 }
 
-// Apply asks for a change. The same request may be sent again as it is.
+// Apply asks for a change. Repeating the same request is safe.
 func (c *Client) Apply(ctx context.Context, req operator.ApplyRequest) (operator.ChangeReply, error) {
 	return c.change(ctx, operator.PathApply, req)
 }
 
-// Rollback asks for an earlier version as a new change.
+// Rollback asks to restore an earlier version as a new change.
 func (c *Client) Rollback(ctx context.Context, req operator.RollbackRequest) (operator.ChangeReply, error) {
 	return c.change(ctx, operator.PathRollback, req)
 }
 
-// Status asks which hosts have a sequence number in force; 0 is the newest.
+// Status asks which hosts have the change with this sequence number in force; 0 means
+// the newest.
 func (c *Client) Status(ctx context.Context, sequence uint64) (config.Status, error) {
 	q := url.Values{"sequence": {strconv.FormatUint(sequence, 10)}}
 	var out config.Status
 	return out, c.do(ctx, http.MethodGet, operator.PathStatus+"?"+q.Encode(), nil, &out)
 }
 
-// History asks for the newest changes, of all workspaces if the name is empty.
+// History returns up to limit of the newest changes, of all workspaces if workspace
+// is empty.
 func (c *Client) History(ctx context.Context, workspace string, limit int) ([]config.Change, error) {
 	q := url.Values{"workspace": {workspace}, "limit": {strconv.Itoa(limit)}}
 	var out operator.HistoryReply
@@ -75,9 +77,9 @@
 	return out.Changes, err
 }
 
-// change sends a change until there is an answer. A lost answer leaves open
-// whether the change was committed; sending it again is safe because the host
-// looks for the change ID first. With no answer at all it is uncertain.
+// change sends a change and retries it if the reply is lost, which leaves open whether
+// the change was committed. Retries are safe because the host looks up the change ID
+// first. If no attempt gets a reply, the result is config.ResultUncertain.
 func (c *Client) change(ctx context.Context, path string, req any) (operator.ChangeReply, error) {
 	sent := false
 	for attempt := 1; ; attempt++ {
@@ -96,7 +98,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(changeRetry):
+		case <-time.After(changeRetryDelay):
 		}
 	}
 }
@@ -130,7 +132,7 @@
 	return decodeReply(res.StatusCode, raw, out)
 }
 
-// decodeReply reads the wanted reply, or the error reply in its place.
+// decodeReply decodes a reply into out, or returns the error that the reply carries.
 func decodeReply(status int, raw []byte, out any) error {
 	var failed operator.ErrorReply
 	if status >= http.StatusBadRequest && json.Unmarshal(raw, &failed) == nil && failed.Error != "" {
@@ -139,15 +141,15 @@
 	if err := json.Unmarshal(raw, out); err == nil {
 		return nil
 	}
-	err := errors.Newf("HTTP status %d with an unknown body", status)
+	err := errors.Newf("HTTP status %d with an unrecognized body", status)
 	if status < http.StatusInternalServerError {
 		return errors.Mark(err, ErrRefused)
 	}
-	// Such as a gateway's reply for a host that may have taken the request.
+	// A gateway may have replied for a host that received the request.
 	return err
 }
 
-// neverSent reports whether a request failed before it had a connection.
+// neverSent reports whether a request failed before a connection was established.
 func neverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/operator/client/client_test.go
+++ b/operator/client/client_test.go
@@ -20,15 +20,15 @@
 
 const token = "right"
 
-// bed is one host with its operators' interface on loopback.
-type bed struct {
+// testHost is one host that serves its operator API on loopback.
+type testHost struct {
 	t     *testing.T
 	fleet *confignet.Fleet
 	addr  string
 	dir   string
 }
 
-func newBed(t *testing.T, wrap func(http.Handler) http.Handler) *bed {
+func newTestHost(t *testing.T, wrap func(http.Handler) http.Handler) *testHost {
 	t.Helper()
 	f := confignet.NewFleet(1)
 	t.Cleanup(f.Close)
@@ -37,34 +37,34 @@
 		Config: h.Controller, Metrics: h.Metrics, Log: zap.NewNop(), Token: token,
 	})))
 	t.Cleanup(srv.Close)
-	b := &bed{t: t, fleet: f, addr: srv.URL, dir: t.TempDir()}
-	b.file("token", token+"\n")
-	b.file("wrong", "guess")
-	b.file("template", confignet.Template().Text)
-	b.file("w7", confignet.Workspace("w", 7).Text)
-	b.file("w8", confignet.Workspace("w", 8).Text)
-	b.file("bad", confignet.Workspace("w", 0).Text)
+	b := &testHost{t: t, fleet: f, addr: srv.URL, dir: t.TempDir()}
+	b.writeFile("token", token+"\n")
+	b.writeFile("wrong", "guess")
+	b.writeFile("template", confignet.Template().Text)
+	b.writeFile("w7", confignet.Workspace("w", 7).Text)
+	b.writeFile("w8", confignet.Workspace("w", 8).Text)
+	b.writeFile("bad", confignet.Workspace("w", 0).Text)
 	return b
 }
 
-func plain(h http.Handler) http.Handler { return h }
+func unwrapped(h http.Handler) http.Handler { return h }
 
-func (b *bed) file(name, text string) {
-	assert.NilError(b.t, os.WriteFile(filepath.Join(b.dir, name), []byte(text), 0o600))
+func (h *testHost) writeFile(name, text string) {
+	assert.NilError(h.t, os.WriteFile(filepath.Join(h.dir, name), []byte(text), 0o600))
 }
 
-// run runs cactusctl, with @name standing for a file, and returns its output
-// and errors.
-func (b *bed) run(want int, args ...string) string {
-	b.t.Helper()
+// run runs cactusctl, replacing @name arguments by file paths, checks the exit code
+// and returns the combined output.
+func (h *testHost) run(want int, args ...string) string {
+	h.t.Helper()
 	for i, a := range args {
 		if name, ok := strings.CutPrefix(a, "@"); ok {
-			args[i] = filepath.Join(b.dir, name)
+			args[i] = filepath.Join(h.dir, name)
 		}
 	}
 	var out bytes.Buffer
-	code := Main(context.Background(), append([]string{"--addr", b.addr, "--as", "ana"}, args...), &out, &out)
-	assert.Equal(b.t, code, want, "%s", out.String())
+	code := Main(context.Background(), append([]string{"--addr", h.addr, "--as", "ana"}, args...), &out, &out)
+	assert.Equal(h.t, code, want, "%s", out.String())
 	return out.String()
 }
 
@@ -74,7 +74,7 @@
 }
 
 func TestCommandsAndExitCodes(t *testing.T) {
-	b := newBed(t, plain)
+	b := newTestHost(t, unwrapped)
 	assertContains(t, b.run(ExitDone, "plan", "@w7", "--template", "@template"), "apply with --base 0")
 	apply := []string{"apply", "--token-file", "@token", "--template", "@template"}
 	assertContains(t, b.run(ExitDone, append(apply, "@w7", "--base", "0", "--wait")...), "in force on all 1 hosts")
@@ -91,7 +91,7 @@
 }
 
 func TestUsage(t *testing.T) {
-	b := newBed(t, plain)
+	b := newTestHost(t, unwrapped)
 	assertContains(t, b.run(ExitUsage, "apply", "@w7", "--token-file", "@token"), "--base VERSION")
 	assertContains(t, b.run(ExitUsage, "apply", "@w7", "--base", "0"), "--token-file is required")
 	assertContains(t, b.run(ExitUsage), "want one of plan")
@@ -100,12 +100,12 @@
 	assertContains(t, b.run(ExitDone, "--version"), "cactusctl ")
 }
 
-// The host commits, but the connection breaks before the operator has the
-// answer. The client sends the same change ID again and is told that it was
-// applied; the history has it once.
+// Guards against applying a change twice, or reporting it as failed, if the connection
+// breaks after the commit and before the reply. The client retries with the same
+// change ID, and the history must list the change once.
 func TestBrokenConnectionAfterTheCommit(t *testing.T) {
 	broken := false
-	b := newBed(t, func(h http.Handler) http.Handler {
+	b := newTestHost(t, func(h http.Handler) http.Handler {
 		return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path != operator.PathApply || broken {
 				h.ServeHTTP(w, r)
@@ -121,7 +121,7 @@
 }
 
 func TestNoAnswerAtAllIsUncertainAndNoConnectionIsNot(t *testing.T) {
-	b := newBed(t, func(http.Handler) http.Handler {
+	b := newTestHost(t, func(http.Handler) http.Handler {
 		return http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	})
 	args := []string{"apply", "@w7", "--base", "0", "--token-file", "@token", "--id", "c1"}
@@ -131,7 +131,7 @@
 }
 
 func TestBadBodiesAreExplained(t *testing.T) {
-	b := newBed(t, plain)
+	b := newTestHost(t, unwrapped)
 	for body, want := range map[string]string{
 		``:                         "request body: empty",
 		`{"workspace": 7}`:         "field workspace: want config.File, have number",
--- a/operator/client/explain.go
+++ b/operator/client/explain.go
@@ -7,7 +7,7 @@
 	"github.com/cactusproxy/cactusproxy/explain"
 )
 
-// explain shows what logs tell of a request.
+// explain prints what the log files say about a request.
 func (c *command) explain(a *explainArgs) int {
 	logs := make([]io.Reader, 0, len(a.Files))
 	for _, name := range a.Files {
@@ -18,11 +18,11 @@
 		defer f.Close()
 		logs = append(logs, f)
 	}
-	story, err := explain.Request(a.ID, logs...)
+	report, err := explain.Request(a.ID, logs...)
 	if err != nil {
 		return c.fail(err)
 	}
-	if err := story.Write(c.out); err != nil {
+	if err := report.Write(c.out); err != nil {
 		return c.fail(err)
 	}
 	return ExitDone
--- a/operator/client/show.go
+++ b/operator/client/show.go
@@ -31,7 +31,7 @@
 	return ExitFailed
 }
 
-// showChange prints what became of a change and returns the exit code.
+// showChange prints the result of a change and returns the exit code.
 func (c *command) showChange(id string, res operator.ChangeReply) int {
 	switch res.Result {
 	case config.ResultApplied:
@@ -83,7 +83,7 @@
 	return "the workspace is at: " + describe(*ch)
 }
 
-// describe returns a change in one line.
+// describe formats a change on one line.
 func describe(ch config.Change) string {
 	line := fmt.Sprintf("sequence=%d workspace=%s version=%d who=%q when=%s change=%s",
 		ch.Sequence, ch.Workspace.Name, ch.Workspace.Version, ch.Who, ch.When.Format(time.RFC3339), ch.ID)
--- a/operator/handler.go
+++ b/operator/handler.go
@@ -20,23 +20,23 @@
 	"github.com/cactusproxy/cactusproxy/metrics"
 )
 
-// maxRequest bounds the body of a request, in bytes: two files and their JSON
-// escapes.
+// maxRequest bounds a request body, in bytes: two files with JSON escapes.
 const maxRequest = 2 << 20
 
-// Deps is what the interface works with.
+// Deps holds the dependencies of the API.
 type Deps struct {
 	Config  *config.Controller
 	Metrics *metrics.Set
 	Log     *zap.Logger
-	// Token is the secret that changes need. With none every change is refused.
+	// Token is the bearer token that changes need. If it is empty, all changes are
+	// refused.
 	Token string
 }
 
 // api holds the handlers.
 type api struct{ Deps }
 
-// New returns the routes; more may be added to them.
+// New returns the router of the API, to which the caller may add routes.
 func New(deps Deps) chi.Router {
 	a := &api{deps}
 	r := chi.NewRouter()
@@ -52,8 +52,8 @@
 	return r
 }
 
-// requireToken compares digests, so that the time taken tells neither how much
-// of a guess is right nor how long the token is.
+// requireToken rejects requests without the token. It compares digests in constant
+// time, so that timing reveals neither the length of the token nor a matching prefix.
 func (a *api) requireToken(next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(a.Token))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -108,7 +108,7 @@
 	a.changed(w, r, out, req.WaitMillis)
 }
 
-// changed answers a change, after waiting for it to be in force if asked to.
+// changed replies to a change, after waiting for it to be in force if requested.
 func (a *api) changed(w http.ResponseWriter, r *http.Request, out config.Outcome, waitMillis int64) {
 	res := ChangeReply{Outcome: out}
 	if out.Change != nil && waitMillis > 0 {
@@ -143,7 +143,8 @@
 	reply(w, http.StatusOK, HistoryReply{Changes: changes})
 }
 
-// number reads a query parameter; 0 if it is absent.
+// number parses a query parameter as an unsigned integer, 0 if it is absent. If the
+// parameter is invalid it replies with an error and returns false.
 func (a *api) number(w http.ResponseWriter, r *http.Request, name string) (uint64, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -164,7 +165,8 @@
 	return base != nil
 }
 
-// read decodes a body, which must be one JSON value without unknown fields.
+// read decodes a request body, which must be a single JSON value without unknown
+// fields. If the body is invalid it replies with an error and returns false.
 func (a *api) read(w http.ResponseWriter, r *http.Request, into any) bool {
 	d := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest))
 	d.DisallowUnknownFields()
@@ -179,7 +181,7 @@
 	return true
 }
 
-// describe turns a decoder's error into one that names the field or the byte.
+// describe formats a decoding error with the field or byte offset it concerns.
 func describe(err error) string {
 	var typ *json.UnmarshalTypeError
 	var syntax *json.SyntaxError
@@ -211,6 +213,6 @@
 func reply(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	w.WriteHeader(status)
-	// An error here means that the operator is gone; there is nobody to tell.
+	// An error here means that the client has disconnected.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/operator/handler_test.go
+++ b/operator/handler_test.go
@@ -12,8 +12,9 @@
 	"github.com/cactusproxy/cactusproxy/metrics"
 )
 
-// A host without a token, or a caller without one, changes nothing, not even
-// with an empty token that would compare as equal.
+// Guards against unauthorized changes: a request without the right token is refused,
+// and so is every request to a host without a configured token, where an empty token
+// would compare as equal.
 func TestChangesNeedAToken(t *testing.T) {
 	tests := []struct{ token, header string }{{"", ""}, {"", "Bearer "}, {"right", ""}, {"right", "Bearer righ"}, {"right", "Bearer right1"}}
 	for _, tt := range tests {
