--- a/cmd/cactusbench/capacity.go
+++ b/cmd/cactusbench/capacity.go
@@ -18,7 +18,7 @@
 }
 
 func (c *capacityCmd) run(ctx context.Context, out io.Writer) error {
-	s, err := c.kept()
+	s, err := c.loadSlopes()
 	if err != nil {
 		return err
 	}
@@ -34,9 +34,9 @@
 	return capacity.Rewrite(c.Page, s)
 }
 
-// kept returns the slopes measured before; they are needed if only one step is
-// measured.
-func (c *capacityCmd) kept() (capacity.Slopes, error) {
+// loadSlopes returns the slopes of an earlier run, which are kept if only one step is
+// measured. If all steps are measured it returns none.
+func (c *capacityCmd) loadSlopes() (capacity.Slopes, error) {
 	var s capacity.Slopes
 	if c.Only == "" {
 		return s, nil
--- a/cmd/cactusbench/choose.go
+++ b/cmd/cactusbench/choose.go
@@ -16,7 +16,7 @@
 	JSON  string `arg:"--json" default:"out/choose.json" help:"file for the report; the plots go beside it"`
 }
 
-// run compares the ways of choosing at every load and fault.
+// run compares the algorithms for choosing a target at every load and fault.
 func (c *chooseCmd) run(_ context.Context, out io.Writer) error {
 	o := choose.FullOptions()
 	o.Calls, o.Seeds = c.Calls, c.Seeds
--- a/cmd/cactusbench/config.go
+++ b/cmd/cactusbench/config.go
@@ -14,7 +14,8 @@
 	JSON    string `arg:"--json" help:"file for the report"`
 }
 
-// run measures the time in force for each fault, and the cost of a start.
+// run measures how long a change takes to be in force under each fault, and the cost
+// of a start.
 func (c *configCmd) run(ctx context.Context, out io.Writer) error {
 	hosts := c.Hosts
 	if len(hosts) == 0 {
--- a/cmd/cactusbench/latency.go
+++ b/cmd/cactusbench/latency.go
@@ -19,10 +19,10 @@
 	Profile  string `arg:"--cpuprofile" help:"file for a CPU profile of the run"`
 }
 
-// run measures in one run a small deployment, the same while the platform is out,
-// and one with much declared.
+// run measures a small deployment, the same one during a platform outage, and one with
+// many services and targets.
 func (c *latencyCmd) run(ctx context.Context, out io.Writer) error {
-	stop, err := profile(c.Profile)
+	stop, err := startProfile(c.Profile)
 	if err != nil {
 		return err
 	}
@@ -44,9 +44,9 @@
 	return writeJSON(c.JSON, reports)
 }
 
-// profile begins a CPU profile, unless no file is named, and returns what ends
-// it.
-func profile(file string) (stop func(), err error) {
+// startProfile starts a CPU profile and returns a function that ends it. If file is
+// empty it does nothing.
+func startProfile(file string) (stop func(), err error) {
 	if file == "" {
 		return func() {}, nil
 	}
--- a/cmd/cactusbench/main.go
+++ b/cmd/cactusbench/main.go
@@ -1,4 +1,4 @@
-// Command cactusbench makes the figures of the documents again.
+// Command cactusbench runs the benchmarks whose results the documentation cites.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/cactusproxy/cactusproxy/internal/version"
 )
 
-// command is a subcommand: its fields are its flags.
+// command is a subcommand. The fields of an implementation are its flags.
 type command interface {
 	run(ctx context.Context, out io.Writer) error
 }
@@ -54,7 +54,7 @@
 	return 0
 }
 
-// writeJSON writes a report to a file, or nothing if no file is named.
+// writeJSON writes a report to a file as JSON, or does nothing if file is empty.
 func writeJSON(file string, report any) error {
 	if file == "" {
 		return nil
--- a/cmd/cactusctl/main.go
+++ b/cmd/cactusctl/main.go
@@ -1,4 +1,5 @@
-// Command cactusctl changes and shows the configuration of cactusproxy.
+// Command cactusctl shows and changes the configuration of cactusproxy, and explains
+// requests from the logs of its hosts.
 package main
 
 import (
--- a/cmd/cactusdemo/calls.go
+++ b/cmd/cactusdemo/calls.go
@@ -14,7 +14,7 @@
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 )
 
-// send makes a call through a host; key may be empty.
+// send sends a request through a host, with an idempotency key unless key is empty.
 func (d *demo) send(ctx context.Context, host, method, path, key, body string) (lab.Response, error) {
 	h, err := d.lab.Host(host)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return lab.Do(http.DefaultClient, req)
 }
 
-// want returns an error unless the response has this outcome and reason.
-func want(r lab.Response, outcome, reason string) error {
+// checkOutcome returns an error unless the response has this outcome and reason.
+func checkOutcome(r lab.Response, outcome, reason string) error {
 	if r.Outcome != outcome || r.Reason != reason {
 		return fmt.Errorf("want %s/%s, have %s/%s with status %d", outcome, reason, r.Outcome, r.Reason, r.Status)
 	}
@@ -44,17 +44,17 @@
 		if err != nil {
 			return "", err
 		}
-		if err := want(r, "answered", "ok"); err != nil {
+		if err := checkOutcome(r, "answered", "ok"); err != nil {
 			return "", err
 		}
 	}
 	return fmt.Sprintf("answered through each of %d hosts", len(d.hosts)), nil
 }
 
-// runs counts the runs of a key over all targets of a service.
+// runs returns how often the targets of a service executed requests with a key.
 func (d *demo) runs(workspace, service, key string) int {
 	n := 0
-	for _, f := range fleet {
+	for _, f := range demoServices {
 		if f.workspace != workspace || f.service != service {
 			continue
 		}
@@ -79,20 +79,20 @@
 	return n
 }
 
-const purchase = "/" + auction + "/settlement/purchases"
+const purchasePath = "/" + auction + "/settlement/purchases"
 
-// purchaseKey is sent by two steps.
+// purchaseKey is the idempotency key shared by two steps.
 var purchaseKey = ulid.Make().String()
 
 func (d *demo) purchaseTwice(ctx context.Context) (string, error) {
-	first, err := d.send(ctx, d.hosts[0], http.MethodPost, purchase, purchaseKey, "lot 7")
+	first, err := d.send(ctx, d.hosts[0], http.MethodPost, purchasePath, purchaseKey, "lot 7")
 	if err != nil {
 		return "", err
 	}
-	if err := want(first, "answered", "ok"); err != nil {
+	if err := checkOutcome(first, "answered", "ok"); err != nil {
 		return "", err
 	}
-	again, err := d.repeat(ctx, d.hosts[1], purchaseKey, "lot 7")
+	again, err := d.retryPurchase(ctx, d.hosts[1], purchaseKey, "lot 7")
 	if err != nil {
 		return "", err
 	}
@@ -105,16 +105,16 @@
 	return "second send through another host got the stored answer, one run at the targets", nil
 }
 
-// repeat sends a purchase again until its answer is stored, as a caller does
-// who is told that the first send is in progress.
-func (d *demo) repeat(ctx context.Context, host, key, body string) (lab.Response, error) {
+// retryPurchase repeats a purchase until it gets the stored response, as a caller does
+// if the first request is still in progress.
+func (d *demo) retryPurchase(ctx context.Context, host, key, body string) (lab.Response, error) {
 	for {
-		r, err := d.send(ctx, host, http.MethodPost, purchase, key, body)
+		r, err := d.send(ctx, host, http.MethodPost, purchasePath, key, body)
 		if err != nil {
 			return r, err
 		}
 		if r.Reason != "key-in-progress" {
-			return r, want(r, "answered", "stored-answer")
+			return r, checkOutcome(r, "answered", "stored-answer")
 		}
 		select {
 		case <-ctx.Done():
@@ -125,11 +125,11 @@
 }
 
 func (d *demo) purchaseOther(ctx context.Context) (string, error) {
-	r, err := d.send(ctx, d.hosts[2], http.MethodPost, purchase, purchaseKey, "lot 8")
+	r, err := d.send(ctx, d.hosts[2], http.MethodPost, purchasePath, purchaseKey, "lot 8")
 	if err != nil {
 		return "", err
 	}
-	if err := want(r, "unknown", "key-mismatch"); err != nil {
+	if err := checkOutcome(r, "unknown", "key-mismatch"); err != nil {
 		return "", err
 	}
 	return "told unknown, key-mismatch; nothing ran", nil
@@ -142,12 +142,12 @@
 	if err != nil {
 		return "", err
 	}
-	// Through another host than the one that issued the key.
-	r, err := d.send(ctx, d.hosts[1], http.MethodPost, purchase, key, "lot 9")
+	// Use a different host than the one that issued the key.
+	r, err := d.send(ctx, d.hosts[1], http.MethodPost, purchasePath, key, "lot 9")
 	if err != nil {
 		return "", err
 	}
-	if err := want(r, "answered", "ok"); err != nil {
+	if err := checkOutcome(r, "answered", "ok"); err != nil {
 		return "", err
 	}
 	if n := d.runs(auction, "settlement", key); n != 1 {
@@ -167,7 +167,8 @@
 	return strings.TrimSpace(r.Body), nil
 }
 
-// photoSize is beyond what is kept in memory, so that the upload streams.
+// photoSize, in bytes, is more than hosts buffer in memory, so that the upload is
+// streamed.
 const photoSize = 8 << 20
 
 func (d *demo) upload(ctx context.Context) (string, error) {
@@ -175,7 +176,7 @@
 	if err != nil {
 		return "", err
 	}
-	if err := want(r, "answered", "ok"); err != nil {
+	if err := checkOutcome(r, "answered", "ok"); err != nil {
 		return "", err
 	}
 	for i := range 2 {
--- a/cmd/cactusdemo/changes.go
+++ b/cmd/cactusdemo/changes.go
@@ -17,10 +17,10 @@
 	"github.com/cactusproxy/cactusproxy/operator"
 )
 
-// changedTimeout is what the demo's change sets the clock's timeout to.
+// changedTimeout is the timeout of service clock after the demo's change.
 const changedTimeout = 900 * time.Millisecond
 
-// changedAuction returns the auction's workspace with another timeout.
+// changedAuction returns the auction's workspace file with the changed timeout.
 func (d *demo) changedAuction() (config.File, error) {
 	name := path.Join("auction", "workspace.jsonc")
 	text, err := fs.ReadFile(d.examples, name)
@@ -80,7 +80,7 @@
 	return fmt.Sprintf("refused, shows the change of %s", r.Other.Who), nil
 }
 
-// slowCall is how long the call takes during which a host stops.
+// slowCall is the duration of the request during which a host stops.
 const slowCall = 1500 * time.Millisecond
 
 func (d *demo) stopDuringCall(ctx context.Context) (string, error) {
@@ -106,7 +106,7 @@
 	go func() {
 		r, err := d.send(ctx, host, http.MethodGet, "/"+repairs+"/workorders/12", "", "")
 		if err == nil {
-			err = want(r, "answered", "ok")
+			err = checkOutcome(r, "answered", "ok")
 		}
 		answer <- err
 	}()
@@ -141,7 +141,7 @@
 		if err != nil {
 			return "", err
 		}
-		if err := want(r, "answered", "ok"); err != nil {
+		if err := checkOutcome(r, "answered", "ok"); err != nil {
 			return "", err
 		}
 	}
--- a/cmd/cactusdemo/demo.go
+++ b/cmd/cactusdemo/demo.go
@@ -19,7 +19,7 @@
 	repairs = "leigjendur"
 )
 
-// demo runs the steps and remembers whether all went well.
+// demo runs the steps against a deployment in this process.
 type demo struct {
 	lab      *lab.Lab
 	examples fs.FS
@@ -27,7 +27,8 @@
 	hosts    []string
 }
 
-// step is one thing that is shown.
+// step is one demonstrated behavior. Its run returns what was observed, or an error if
+// that was not as expected.
 type step struct {
 	name string
 	run  func(context.Context) (seen string, err error)
@@ -47,19 +48,19 @@
 		{"a change against an old version is a conflict", d.conflict},
 		{"a host stops while a call is in flight", d.stopDuringCall},
 		{"a target leaves and gets no new call", d.targetLeaves},
-		{"a zone is emptied and taken back", d.emptyZones},
+		{"a zone is emptied and taken back", d.evacuateZones},
 	}
 	ok := true
 	for i, s := range steps {
 		start := time.Now()
-		seen, err := s.run(ctx)
+		observed, err := s.run(ctx)
 		took := time.Since(start).Round(time.Millisecond)
 		if err != nil {
 			fmt.Fprintf(d.out, "FAIL %2d %s: %v (%s)\n", i+1, s.name, err, took)
 			ok = false
 			continue
 		}
-		fmt.Fprintf(d.out, "ok   %2d %s: %s (%s)\n", i+1, s.name, seen, took)
+		fmt.Fprintf(d.out, "ok   %2d %s: %s (%s)\n", i+1, s.name, observed, took)
 	}
 	return ok
 }
@@ -96,9 +97,9 @@
 	return "both applied through entry-1, in force on all hosts", nil
 }
 
-// fleet is the number of targets of each service in the demo; a third of
-// today's sizes.
-var fleet = []struct {
+// demoServices lists the services of the demo, with the number of targets of each and
+// the slots of a target: a third of the size of the deployments that they model.
+var demoServices = []struct {
 	workspace, service string
 	targets, slots     int
 }{
@@ -115,7 +116,7 @@
 
 func (d *demo) startTargets(ctx context.Context) (string, error) {
 	total := 0
-	for _, f := range fleet {
+	for _, f := range demoServices {
 		for i := range f.targets {
 			zone := "zone-" + string(rune('a'+i%3))
 			_, err := d.lab.AddTarget(targetID(f.workspace, f.service, i), zone, f.workspace, f.service, target.Options{
@@ -132,7 +133,7 @@
 		}
 	}
 	for _, host := range d.hosts {
-		for _, f := range fleet {
+		for _, f := range demoServices {
 			if err := d.lab.WaitTargets(ctx, host, f.workspace, f.service, f.targets); err != nil {
 				return "", err
 			}
--- a/cmd/cactusdemo/main.go
+++ b/cmd/cactusdemo/main.go
@@ -1,7 +1,7 @@
-// Command cactusdemo shows cactusproxy at work in one process: three entry hosts
-// in three availability zones, the platform's stand-in and targets of both
-// example deployments. It makes real calls over loopback, prints what came of
-// each, and exits 0 only if all was as promised.
+// Command cactusdemo demonstrates cactusproxy in one process, with three entry hosts
+// in three availability zones, a simulated platform and the targets of both example
+// deployments. It sends real requests over loopback, prints the result of each step,
+// and exits with 0 only if every step gave the expected result.
 package main
 
 import (
@@ -41,8 +41,8 @@
 
 func (args) Version() string { return "cactusdemo " + version.String() }
 
-// limit bounds the whole show.
-const limit = 50 * time.Second
+// runTimeout bounds the whole run.
+const runTimeout = 50 * time.Second
 
 func main() { os.Exit(run()) }
 
@@ -60,12 +60,12 @@
 		return 1
 	}
 	defer l.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), runTimeout)
 	defer cancel()
 	d := &demo{lab: l, examples: a.files(), out: os.Stdout}
 	ok := d.run(ctx)
 	if a.Stay && ok {
-		d.stay()
+		d.waitForSignal()
 	}
 	if !ok {
 		return 1
@@ -73,8 +73,8 @@
 	return 0
 }
 
-// stay prints addresses and waits for a signal.
-func (d *demo) stay() {
+// waitForSignal prints the addresses of the deployment and blocks until a signal.
+func (d *demo) waitForSignal() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	fmt.Fprintln(d.out, "\nrunning until interrupted:")
--- a/cmd/cactusdemo/main_test.go
+++ b/cmd/cactusdemo/main_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Somebody tries the program that was just built in another folder: nine of twelve steps
-// failed, since the declarations were looked for beside the caller.
+// Guards against declarations that are looked up relative to the working directory: run
+// from another folder, the program did not find them and most steps failed.
 func TestDeclarationsAreFoundFromAnyFolder(t *testing.T) {
 	t.Chdir(t.TempDir())
 	for _, deployment := range []string{"auction", "repairs"} {
--- a/cmd/cactusdemo/zones.go
+++ b/cmd/cactusdemo/zones.go
@@ -18,8 +18,8 @@
 	"github.com/cactusproxy/cactusproxy/settings"
 )
 
-// zonesLab is the daemon for platforms that keep one record of routes, with a stand-in of such
-// a platform and a target in each of two zones.
+// zonesLab is a deployment with an edge daemon, a simulated platform that keeps all
+// routes in one record, and a target in each of two availability zones.
 type zonesLab struct {
 	store   *standin.Store
 	targets map[string]*standin.Target
@@ -62,7 +62,7 @@
 		return "", err
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
-	go func() { _ = server.Serve(ln) }() // ends with Close
+	go func() { _ = server.Serve(ln) }() // returns after Close
 	l.closers = append(l.closers, func() { _ = server.Close() })
 	return ln.Addr().String(), nil
 }
@@ -93,7 +93,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = l.daemon.Run(ctx) // what callers get is checked
+		_ = l.daemon.Run(ctx) // the demo checks responses instead
 	}()
 	l.closers = append(l.closers, func() { cancel(); <-done })
 	return nil
@@ -105,7 +105,8 @@
 	}
 }
 
-// call sends one request and returns the status, and the zone whose target ran it.
+// call sends one request and returns the status and the zone of the target that ran
+// it, if any.
 func (l *zonesLab) call(ctx context.Context) (status int, zone string, err error) {
 	l.calls++
 	id := fmt.Sprintf("demo-%d", l.calls)
@@ -129,8 +130,9 @@
 	return resp.StatusCode, zone, nil
 }
 
-// await calls until a status and a zone are seen, and returns how long that took.
-func (l *zonesLab) await(ctx context.Context, status int, zone string) (time.Duration, error) {
+// waitFor sends requests until one has the given status and zone, and returns how long
+// that took.
+func (l *zonesLab) waitFor(ctx context.Context, status int, zone string) (time.Duration, error) {
 	start := time.Now()
 	for time.Since(start) < 5*time.Second {
 		got, by, err := l.call(ctx)
@@ -142,15 +144,15 @@
 	return 0, fmt.Errorf("no status %d by a target of %q", status, zone)
 }
 
-// emptyZones has an operator empty a zone, then the other, and take both back.
-func (d *demo) emptyZones(ctx context.Context) (string, error) {
+// evacuateZones evacuates one zone, then the other, and restores both.
+func (d *demo) evacuateZones(ctx context.Context) (string, error) {
 	l, err := newZonesLab()
 	defer l.close()
 	if err != nil {
 		return "", err
 	}
 	evacuate := func(zone string) { l.store.Put("op", "evacuate/"+zone, []byte("{}")) }
-	takeBack := func(zone string) { l.store.Remove("op", "evacuate/"+zone) }
+	restore := func(zone string) { l.store.Remove("op", "evacuate/"+zone) }
 	var seen []string
 	for _, step := range []struct {
 		what   string
@@ -161,10 +163,10 @@
 		{"served by zone-a", func() {}, http.StatusOK, nearZone},
 		{"zone-a evacuated", func() { evacuate(nearZone) }, http.StatusOK, farZone},
 		{"both evacuated", func() { evacuate(farZone) }, http.StatusServiceUnavailable, ""},
-		{"both taken back", func() { takeBack(nearZone); takeBack(farZone) }, http.StatusOK, nearZone},
+		{"both taken back", func() { restore(nearZone); restore(farZone) }, http.StatusOK, nearZone},
 	} {
 		step.change()
-		took, err := l.await(ctx, step.status, step.zone)
+		took, err := l.waitFor(ctx, step.status, step.zone)
 		if err != nil {
 			return "", fmt.Errorf("%s: %w", step.what, err)
 		}
--- a/cmd/cactusproxyd/main.go
+++ b/cmd/cactusproxyd/main.go
@@ -1,4 +1,4 @@
-// Command cactusproxyd runs one entry host.
+// Command cactusproxyd runs one entry host of the load balancer.
 package main
 
 import (
@@ -30,10 +30,10 @@
 )
 
 type settingsArg struct {
-	Settings string `arg:"positional" help:"settings file, JSON with comments; if left out, the one that the platform names in the environment"`
+	Settings string `arg:"positional" help:"settings file, JSON with comments; default the file that the platform names in the environment"`
 }
 
-// file returns the settings file.
+// file returns the path of the settings file.
 func (a *settingsArg) file() string {
 	if a.Settings != "" {
 		return a.Settings
@@ -42,12 +42,12 @@
 }
 
 type args struct {
-	Serve *settingsArg `arg:"subcommand:serve" help:"run until SIGTERM or SIGINT, then stop without cutting off a call"`
+	Serve *settingsArg `arg:"subcommand:serve" help:"serve until SIGTERM or SIGINT, then stop gracefully"`
 	Check *settingsArg `arg:"subcommand:check" help:"check a settings file and exit"`
 }
 
 func (args) Description() string {
-	return "cactusproxyd is an entry host: it carries callers' HTTP calls to targets."
+	return "cactusproxyd is an entry host: it forwards HTTP requests of callers to targets."
 }
 
 func (args) Version() string { return "cactusproxyd " + version.String() }
@@ -112,14 +112,14 @@
 	return exitOK
 }
 
-// daemon is an entry host of either kind.
+// daemon is an entry host, either a cactusproxy.Daemon or an edge.Daemon.
 type daemon interface {
 	Run(ctx context.Context) error
-	// Reload takes in a settings file that was read again.
+	// Reload handles a change of the settings file.
 	Reload(c settings.Change)
 }
 
-// newDaemon makes the kind of entry host that the settings ask for.
+// newDaemon builds the kind of entry host that the settings select.
 func newDaemon(s *settings.Settings, log *zap.Logger) (daemon, error) {
 	if s.Directory.Store == "" {
 		return cactusproxy.New(s, cactusproxy.WithLog(log))
--- a/cmd/cactussoak/main.go
+++ b/cmd/cactussoak/main.go
@@ -1,5 +1,5 @@
-// Command cactussoak runs entry hosts as separate processes, disturbs them at
-// random, and checks the promises to callers while it does.
+// Command cactussoak runs entry hosts as separate processes, injects random faults, and
+// checks the guarantees given to callers.
 package main
 
 import (
@@ -52,7 +52,7 @@
 	}
 	broken := 0
 	for seed := a.From; seed < a.From+a.Seeds && ctx.Err() == nil; seed++ {
-		if !one(ctx, &a, binary, seed) {
+		if !runSeed(ctx, &a, binary, seed) {
 			broken++
 		}
 	}
@@ -63,8 +63,9 @@
 	return 0
 }
 
-// one plays one seed and reports whether all promises were kept.
-func one(ctx context.Context, a *args, binary string, seed uint64) bool {
+// runSeed runs one seed and reports whether all guarantees held. It deletes the logs if
+// they did.
+func runSeed(ctx context.Context, a *args, binary string, seed uint64) bool {
 	dir := filepath.Join(a.Dir, fmt.Sprintf("seed-%d", seed))
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/cactusstand/main.go
+++ b/cmd/cactusstand/main.go
@@ -1,5 +1,5 @@
-// Command cactusstand runs small stand-ins for what cactusproxy works with: the
-// platform, or one target. It is for trials and tests, not for production.
+// Command cactusstand runs a simulated platform or a simulated target for development
+// and tests of cactusproxy. It is not for production.
 package main
 
 import (
@@ -25,7 +25,7 @@
 	exitUsage = 2
 )
 
-// args are the command line.
+// args holds the command-line arguments.
 type args struct {
 	Platform *platformArgs `arg:"subcommand:platform" help:"serve the platform's table, objects and host list"`
 	Target   *targetArgs   `arg:"subcommand:target" help:"serve one target"`
@@ -33,13 +33,13 @@
 
 // Description is shown by --help.
 func (args) Description() string {
-	return "Stand-ins for what cactusproxy works with. SIGTERM and SIGINT stop them cleanly."
+	return "Simulated platform and targets for cactusproxy. SIGTERM and SIGINT stop them gracefully."
 }
 
 // Version is shown by --version.
 func (args) Version() string { return "cactusstand " + version.String() }
 
-// stopTimeout bounds the time to finish what is in flight at a stop.
+// stopTimeout bounds the time to complete requests in flight on shutdown.
 const stopTimeout = 10 * time.Minute
 
 func main() {
@@ -49,7 +49,7 @@
 	os.Exit(status)
 }
 
-// run is the program; it ends when ctx does.
+// run runs the command until ctx ends and returns its exit status.
 func run(ctx context.Context, line []string, stdout, stderr io.Writer) int {
 	var a args
 	parser, err := arg.NewParser(arg.Config{Program: "cactusstand", Out: stderr}, &a)
@@ -84,7 +84,7 @@
 		return exitUsage
 	}
 	if err != nil {
-		log.Error("stopped by an error", zap.Error(err))
+		log.Error("exiting after an error", zap.Error(err))
 		return exitError
 	}
 	return exitOK
--- a/cmd/cactusstand/main_test.go
+++ b/cmd/cactusstand/main_test.go
@@ -16,14 +16,14 @@
 	"github.com/cactusproxy/cactusproxy/ports/httpstore"
 )
 
-// program is one run of the command, whose log lines can be waited for.
+// program is one run of the command. Its log lines can be awaited.
 type program struct {
 	lines  chan string
 	stop   context.CancelFunc
 	status chan int
 }
 
-// Write takes one log line.
+// Write receives one log line.
 func (p *program) Write(b []byte) (int, error) {
 	p.lines <- string(b)
 	return len(b), nil
@@ -39,7 +39,7 @@
 	return p
 }
 
-// addr waits for the line that tells where the program listens.
+// addr waits for a log line with the next address that the program listens on.
 func (p *program) addr(t *testing.T) string {
 	t.Helper()
 	for line := range p.lines {
@@ -47,7 +47,7 @@
 			return m[1]
 		}
 	}
-	t.Fatal("the program ended before it listened")
+	t.Fatal("the program ended before it logged an address")
 	return ""
 }
 
@@ -70,8 +70,9 @@
 	}
 }
 
-// A target is stopped while it runs a call. It is listed as leaving, the call is
-// answered in full, and both programs end with status 0.
+// Guards against a target that drops requests or stays listed when it is stopped: it is
+// stopped during a request, which must be answered, its entry must be removed, and both
+// programs must exit with status 0.
 func TestTargetRegistersAndLeavesCleanly(t *testing.T) {
 	plat := startProgram("platform", "--listen", "127.0.0.1:0", "--host-lag", "0s", "--token", "s")
 	url := "http://" + plat.addr(t)
--- a/cmd/cactusstand/register.go
+++ b/cmd/cactusstand/register.go
@@ -14,10 +14,11 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// registerTimeout bounds one change of the platform's list.
+// registerTimeout bounds one update of the platform's host list.
 const registerTimeout = 5 * time.Second
 
-// registrar keeps the target's line in the list of the platform's stand-in.
+// registrar maintains the target's entry in the host list of the simulated platform.
+// Without a platform URL it does nothing.
 type registrar struct {
 	url   string
 	token string
@@ -42,7 +43,7 @@
 	}
 }
 
-// put writes the line with this state; it does nothing without a platform.
+// put writes the entry with the given state.
 func (r *registrar) put(ctx context.Context, state ports.HostState) error {
 	h := r.host
 	h.State = state
@@ -53,7 +54,7 @@
 	return r.send(ctx, http.MethodPut, body)
 }
 
-// remove takes the line out of the list.
+// remove deletes the entry.
 func (r *registrar) remove(ctx context.Context) error {
 	return r.send(ctx, http.MethodDelete, nil)
 }
--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,9 +1,9 @@
-// Package examples holds the declarations of two deployments, to read and to try.
+// Package examples embeds the configuration of two example deployments.
 package examples
 
 import "embed"
 
-// Files are the settings, templates and workspaces, a folder for each deployment.
+// Files holds the settings, templates and workspaces, in one folder per deployment.
 //
 //go:embed */*.json */*.jsonc
 var Files embed.FS
