--- a/internal/ctxtime/sleep.go
+++ b/internal/ctxtime/sleep.go
@@ -1,4 +1,4 @@
-// Package ctxtime waits for times that a context can cut short.
+// Package ctxtime provides sleeping that ends early when a context ends.
 package ctxtime
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep waits for d and reports whether it passed before ctx ended. Without any
-// time to wait it reports whether ctx has not ended yet.
+// Sleep waits for d or until ctx ends, and reports whether d passed first. If d is not
+// positive it returns at once and reports whether ctx is still active.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/daemon/callers.go
+++ b/internal/daemon/callers.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// closeArrive is how long connections that are open when a host stops listening may
-	// still bring a request. A caller sends one as soon as it has connected, so that links
-	// with a delay of some milliseconds and a busy processor are what it must cover. With
-	// closeSettle it is under 0.2 s, which a stop with nothing to finish may take.
-	closeArrive = 60 * time.Millisecond
-	// closeCheck is the time between two looks for calls in flight at the end of a
-	// stop, closeSettle how long there must have been none.
-	closeCheck  = 20 * time.Millisecond
-	closeSettle = 100 * time.Millisecond
+	// closeGrace is how long connections that are open when the listener closes may still
+	// deliver a request. Callers send one as soon as they have connected, so it has to
+	// cover some milliseconds of network delay and scheduling on a busy machine. Together
+	// with idleDuration it stays under the 0.2 s that a stop of an idle host may take.
+	closeGrace = 60 * time.Millisecond
+	// idleCheckInterval is the interval of checks for requests in flight during a stop,
+	// idleDuration how long there must have been none for the stop to complete.
+	idleCheckInterval = 20 * time.Millisecond
+	idleDuration      = 100 * time.Millisecond
 )
 
-// Callers is the server that callers reach.
+// Callers is the HTTP server for callers.
 type Callers struct {
 	Server *http.Server
-	// Listener is nil if the server is not served from here.
+	// Listener is nil if the handler of Server is called in some other way.
 	Listener net.Listener
-	// InFlight returns the number of calls that have not had their whole reply.
+	// InFlight returns the number of requests whose response is not yet complete.
 	InFlight func() int64
 }
 
@@ -41,14 +41,16 @@
 	return err
 }
 
-// Close stops listening, takes what arrives on open connections for a short time, and
-// waits for the calls in flight.
+// Close closes the listener, serves requests that still arrive on open connections for a
+// short time, and waits for the requests in flight.
 //
-// http.Server.Shutdown closes connections on which it has just read a request, without an answer.
-// So the listener is closed before it, and what comes in between is answered with
-// "Connection: close". One that the kernel has not yet handed over then is reset, and was never read.
+// http.Server.Shutdown closes connections from which it has just read a request without
+// sending a response. Close therefore closes the listener first, and requests that arrive
+// before Shutdown are answered with "Connection: close". Connections that the kernel has
+// not handed over by then are reset; no request was read from them.
 //
-// Connections on which no request came are not waited for: Shutdown gives each five seconds.
+// Close does not wait for connections without a request, to each of which Shutdown gives
+// five seconds.
 func (c Callers) Close(ctx context.Context) error {
 	if c.Listener == nil {
 		return nil
@@ -56,27 +58,27 @@
 	if err := c.Listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	ctxtime.Sleep(ctx, closeArrive)
+	ctxtime.Sleep(ctx, closeGrace)
 	closed := make(chan error, 1)
 	go func() { closed <- c.Server.Shutdown(ctx) }()
-	return c.awaitQuiet(closed)
+	return c.waitIdle(closed)
 }
 
-// awaitQuiet waits until the server has closed all connections, or until there has been no
-// call in flight for a while.
-func (c Callers) awaitQuiet(closed <-chan error) error {
-	tick := time.NewTicker(closeCheck)
+// waitIdle waits until the server has closed all connections, or until no request has been
+// in flight for idleDuration.
+func (c Callers) waitIdle(closed <-chan error) error {
+	tick := time.NewTicker(idleCheckInterval)
 	defer tick.Stop()
-	quiet := time.Now()
+	idleSince := time.Now()
 	for {
 		select {
 		case err := <-closed:
 			return err
 		case now := <-tick.C:
 			if c.InFlight() > 0 {
-				quiet = now
+				idleSince = now
 			}
-			if now.Sub(quiet) >= closeSettle {
+			if now.Sub(idleSince) >= idleDuration {
 				return nil
 			}
 		}
--- a/internal/daemon/callers_test.go
+++ b/internal/daemon/callers_test.go
@@ -14,18 +14,18 @@
 	"github.com/cactusproxy/cactusproxy/internal/daemon"
 )
 
-// served is a server of callers whose handler counts its calls and may be held.
-type served struct {
+// testServer is a server for callers whose handler counts requests in flight and can block.
+type testServer struct {
 	daemon.Callers
 	inFlight atomic.Int64
 	hold     chan struct{}
 	ended    chan error
 }
 
-func serve(t *testing.T) *served {
+func serve(t *testing.T) *testServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &served{hold: make(chan struct{}), ended: make(chan error, 1)}
+	s := &testServer{hold: make(chan struct{}), ended: make(chan error, 1)}
 	s.Callers = daemon.Callers{
 		Server:   &http.Server{Handler: http.HandlerFunc(s.call), ReadHeaderTimeout: time.Minute},
 		Listener: l,
@@ -36,8 +36,8 @@
 	return s
 }
 
-// call answers at once, or a request for /held once it is let go.
-func (s *served) call(_ http.ResponseWriter, r *http.Request) {
+// call handles a request. It returns at once, or for /held once hold is closed.
+func (s *testServer) call(_ http.ResponseWriter, r *http.Request) {
 	s.inFlight.Add(1)
 	defer s.inFlight.Add(-1)
 	if r.URL.Path == "/held" {
@@ -45,9 +45,9 @@
 	}
 }
 
-// dial opens a connection that the server has accepted: those of one listener are
-// accepted in their order, and a later one is answered.
-func (s *served) dial(t *testing.T) net.Conn {
+// dial opens a connection and waits until the server has accepted it: a listener accepts
+// connections in order, and dial gets a response on a later one.
+func (s *testServer) dial(t *testing.T) net.Conn {
 	nc, err := net.Dial("tcp", s.Listener.Addr().String())
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = nc.Close() })
@@ -57,25 +57,25 @@
 	return nc
 }
 
-// closing closes the callers' server and returns what tells that it has done so.
-func (s *served) closing(t *testing.T) <-chan error {
+// startClose closes the server in the background, waits until it no longer listens, and
+// returns a channel with the result of Close.
+func (s *testServer) startClose(t *testing.T) <-chan error {
 	closed := make(chan error, 1)
 	go func() { closed <- s.Close(t.Context()) }()
 	assert.NilError(t, <-s.ended) // no longer listening
 	return closed
 }
 
-// A caller whose connection was open in time finds it closed without an answer.
-//
-// The request, or the rest of one that has begun, arrives as the host has just stopped
-// listening. net/http reads it and drops it if Shutdown has begun.
+// Guards against closing a connection without a response although it was open before the
+// stop. A request, or the rest of one, arrives just after the listener was closed; net/http
+// reads and drops it if Shutdown has already begun.
 func TestCloseAnswersWhatIsArriving(t *testing.T) {
 	for _, before := range []string{"", "GET / HTTP/1.1\r\nHo"} {
 		s := serve(t)
 		nc := s.dial(t)
 		_, err := io.WriteString(nc, before)
 		assert.NilError(t, err)
-		closed := s.closing(t)
+		closed := s.startClose(t)
 		_, err = io.WriteString(nc, "GET / HTTP/1.1\r\nHost: a\r\n\r\n"[len(before):])
 		assert.NilError(t, err)
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
@@ -85,20 +85,18 @@
 	}
 }
 
-// A caller has a connection open, and sends nothing. The stop does not wait for it.
+// Guards against a stop that waits for open connections without a request.
 func TestCloseDoesNotWaitForAnEmptyConnection(t *testing.T) {
 	s := serve(t)
 	s.dial(t)
 	begun := time.Now()
-	assert.NilError(t, <-s.closing(t))
-	// A stop with nothing to finish may take a fifth of a second; the rest is for a busy machine.
+	assert.NilError(t, <-s.startClose(t))
+	// The stop of an idle host may take 0.2 s; the rest is margin for a busy machine.
 	assert.Check(t, time.Since(begun) < 300*time.Millisecond, "took %v", time.Since(begun))
 }
 
-// A caller loses the answer to a long call.
-//
-// The call is in flight when the host stops listening, beside a connection without any
-// request, for which Shutdown would wait and the stop does not.
+// Guards against cutting off a long request. It is in flight when the listener closes,
+// next to a connection without a request, for which Shutdown would wait but Close does not.
 func TestCloseWaitsForACall(t *testing.T) {
 	s := serve(t)
 	s.dial(t)
@@ -108,10 +106,10 @@
 	for s.inFlight.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	closed := s.closing(t)
+	closed := s.startClose(t)
 	select {
 	case err := <-closed:
-		t.Fatalf("did not wait: %v", err)
+		t.Fatalf("did not wait for the request in flight: %v", err)
 	case <-time.After(500 * time.Millisecond):
 	}
 	close(s.hold)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,4 +1,6 @@
-// Package daemon is what both kinds of entry hosts do in the same way while they run.
+// Package daemon holds what both kinds of entry hosts (cactusproxy.Daemon and
+// edge.Daemon) share: running and stopping their components, serving and closing HTTP
+// servers, and periodic cleanup.
 package daemon
 
 import (
@@ -15,8 +17,8 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// Serve runs a server, with TLS if it has a configuration for it, until it is shut
-// down or closed.
+// Serve serves a listener, with TLS if the server has a TLS configuration, until the
+// server is shut down or closed.
 func Serve(s *http.Server, l net.Listener) error {
 	var err error
 	if s.TLSConfig != nil {
@@ -30,17 +32,18 @@
 	return err
 }
 
-// upkeepInterval is the time between two looks at what is not needed any more.
+// upkeepInterval is the interval of the cleanup.
 const upkeepInterval = 5 * time.Second
 
-// Upkeep forgets targets that are gone, and closes connections idle for long.
+// Upkeep periodically removes the connection pools and quarantine records of targets
+// that are no longer listed, and closes connections that have been idle for too long.
 type Upkeep struct {
 	Board      *blackboard.Board
 	Pools      *upstream.Pools
 	Quarantine *quarantine.Quarantine
 }
 
-// Run works until ctx ends.
+// Run cleans up periodically until ctx ends.
 func (u Upkeep) Run(ctx context.Context) error {
 	tick := time.NewTicker(upkeepInterval)
 	defer tick.Stop()
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -7,9 +7,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Run starts the parts of a daemon and has them work until await returns, whose error it
-// returns then, or that of a part that failed. Await returns once the daemon has stopped, or
-// when work ends: a part has failed. The end of ctx ends no part by itself.
+// Run starts the components of a daemon and runs them until await returns. It returns the
+// error of a component that failed, or else that of await.
+//
+// Await must return once the daemon has stopped, or when its context ends because a component
+// failed. The end of ctx alone stops no component: await decides when to stop them.
 func Run(ctx context.Context, start func(work context.Context, g *errgroup.Group), await func(work context.Context) error) error {
 	work, halt := context.WithCancel(context.WithoutCancel(ctx))
 	defer halt()
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,6 @@
-// Package invariant asserts inside the program what must always hold. A broken
-// invariant is counted, logged and stops the process: going on would turn a
-// fault of the program into a wrong answer to a caller.
+// Package invariant checks the invariants of the load balancer at run time. A broken
+// invariant is counted, passed to the handler and stops the process, because continuing
+// could turn a bug into a wrong response to a caller.
 package invariant
 
 import (
@@ -12,44 +12,43 @@
 // Name identifies an invariant in logs, metrics and docs/PROOF.md.
 type Name string
 
-// The invariants; each is one point of "what must always hold".
+// The invariants.
 const (
-	// ProbeBudget: probes of a workspace stay within its budget.
+	// ProbeBudget: the probes of a workspace stay within its budget.
 	ProbeBudget Name = "probe-budget"
-	// OwnAnswer: a caller gets the answer to its own request.
+	// OwnAnswer: a caller gets the response to its own request.
 	OwnAnswer Name = "own-answer"
-	// NotRunHonest: not-run is told only if no attempt can have run.
+	// NotRunHonest: a caller gets not-run only if no attempt can have run.
 	NotRunHonest Name = "not-run-honest"
-	// AtMostOnce: an at-most-once call is sent at most once for a key.
+	// AtMostOnce: an at-most-once request is sent at most once per key.
 	AtMostOnce Name = "at-most-once"
-	// LeavingIdle: a leaving target gets no new call after the grace period.
+	// LeavingIdle: a leaving target gets no new request after the grace period.
 	LeavingIdle Name = "leaving-idle"
-	// GracefulStop: a planned stop ends with no call in flight.
+	// GracefulStop: a planned stop ends with no request in flight.
 	GracefulStop Name = "graceful-stop"
-	// ConfigForward: the applied configuration sequence never goes back.
+	// ConfigForward: the applied configuration sequence never decreases.
 	ConfigForward Name = "config-forward"
-	// EvacuationForward: an order to evacuate a zone never goes back to an older revision.
+	// EvacuationForward: the revision of an order to evacuate a zone never decreases.
 	EvacuationForward Name = "evacuation-forward"
 	// EvacuatedIdle: no target of an evacuated zone is chosen.
 	EvacuatedIdle Name = "evacuated-idle"
-	// SlotAccount: the slots granted match the calls holding them.
+	// SlotAccount: the number of granted slots matches the requests that hold them.
 	SlotAccount Name = "slot-account"
-	// QuotaPart: a zone's part of a tenant's quota never holds more than its room.
+	// QuotaPart: a zone's part of a tenant's quota never exceeds its capacity.
 	QuotaPart Name = "quota-part"
-	// RouteService: every route of a table leads to services that the table has.
+	// RouteService: every route of a table refers to services of the same table.
 	RouteService Name = "route-service"
 )
 
 var broken = expvar.NewMap("invariants_broken")
 
-// Handler receives a broken invariant; it must not return control to the code
-// that broke it.
+// Handler handles a broken invariant. If it returns, Stop is called.
 type Handler func(name Name, detail string)
 
 var handler atomic.Pointer[Handler]
 
-// SetHandler replaces what happens on a broken invariant; nil restores the
-// default, which is Stop. It is process-wide because the process is what stops.
+// SetHandler sets the process-wide handler of broken invariants; nil restores the
+// default, Stop. It is process-wide because a broken invariant stops the process.
 func SetHandler(h Handler) {
 	if h == nil {
 		handler.Store(nil)
@@ -58,21 +57,21 @@
 	handler.Store(&h)
 }
 
-// Stop ends the process with the invariant's name. It panics in a goroutine of
-// its own: net/http recovers a panic in a handler, so that one there would only
-// break off one caller's connection and the process would go on.
+// Stop ends the process with a panic that names the invariant, and does not return. It
+// panics in a separate goroutine, because net/http recovers panics of handlers: the
+// process would continue and only one caller's connection would break.
 func Stop(name Name, detail string) {
 	go Panic(name, detail)
 	select {}
 }
 
-// Panic panics where the invariant broke. It is a handler for tests that bring
-// that about.
+// Panic panics in the goroutine that broke the invariant. It is a handler for tests that
+// break invariants on purpose.
 func Panic(name Name, detail string) {
 	panic("invariant broken: " + string(name) + ": " + detail)
 }
 
-// Check stops the process if ok is false. The detail is formatted only then.
+// Check calls Broken if ok is false. The detail is formatted only in that case.
 func Check(ok bool, name Name, format string, args ...any) {
 	if ok {
 		return
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the loggers of the programs: one line of key=value
-// pairs for each event.
+// Package logging builds the loggers of the programs, which write one logfmt line of
+// key=value pairs per event.
 package logging
 
 import (
@@ -10,8 +10,8 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// New returns a logger that writes events of the level and above. An empty
-// level is info.
+// New returns a logger that writes events of the given level and above to w. An empty
+// level means info.
 func New(w io.Writer, level string) (*zap.Logger, error) {
 	if level == "" {
 		level = zapcore.InfoLevel.String()
@@ -27,13 +27,13 @@
 	return zap.New(plainErrors{core}), nil
 }
 
-// plainErrors writes an error as its text alone. zap would add a second field
-// with the stack of every wrapped error, which makes lines of many kilobytes.
+// plainErrors writes only the text of errors. By default zap adds a second field with
+// the stack trace of every wrapped error, which makes lines of many kilobytes.
 type plainErrors struct{ zapcore.Core }
 
 // With implements zapcore.Core.
 func (c plainErrors) With(fields []zapcore.Field) zapcore.Core {
-	return plainErrors{c.Core.With(plain(fields))}
+	return plainErrors{c.Core.With(flattenErrors(fields))}
 }
 
 // Check implements zapcore.Core.
@@ -46,10 +46,10 @@
 
 // Write implements zapcore.Core.
 func (c plainErrors) Write(e zapcore.Entry, fields []zapcore.Field) error {
-	return c.Core.Write(e, plain(fields))
+	return c.Core.Write(e, flattenErrors(fields))
 }
 
-func plain(fields []zapcore.Field) []zapcore.Field {
+func flattenErrors(fields []zapcore.Field) []zapcore.Field {
 	out := make([]zapcore.Field, len(fields))
 	for i, f := range fields {
 		if err, ok := f.Interface.(error); ok && f.Type == zapcore.ErrorType {
--- a/internal/logging/writer.go
+++ b/internal/logging/writer.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// queueLines is how many lines wait to be written.
-	queueLines = 4096
-	// gatherFor is how long a line waits for others, so that many are written at
-	// once.
-	gatherFor = 20 * time.Millisecond
-	// flushTimeout bounds the wait for a reader of the log that has stalled.
+	// maxQueuedLines bounds the lines that wait to be written.
+	maxQueuedLines = 4096
+	// batchDelay is how long a line waits for others, so that many are written in one
+	// call.
+	batchDelay = 20 * time.Millisecond
+	// flushTimeout bounds how long Flush waits if the reader of the log has stalled.
 	flushTimeout = 500 * time.Millisecond
 )
 
-// Writer passes lines on in the background. Write never blocks: if the reader of
-// the log stalls, lines are dropped and counted, and calls go on.
+// Writer writes log lines in the background. Write never blocks: if the reader of the
+// log stalls, lines are dropped and counted, and requests are not delayed.
 type Writer struct {
 	out     io.Writer
 	lines   chan []byte
@@ -25,9 +25,9 @@
 	dropped atomic.Int64
 }
 
-// NewWriter returns a writer to out.
+// NewWriter returns a Writer to out. Its goroutine runs until the process ends.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, queueLines), flush: make(chan chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), flush: make(chan chan struct{})}
 	go w.run()
 	return w
 }
@@ -42,10 +42,10 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that were not written.
+// Dropped returns the number of lines that were dropped.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Flush waits until the lines so far are written, but not for long.
+// Flush waits until all lines so far are written, for at most flushTimeout.
 func (w *Writer) Flush() {
 	done := make(chan struct{})
 	limit := time.NewTimer(flushTimeout)
@@ -65,7 +65,7 @@
 	for {
 		select {
 		case line := <-w.lines:
-			time.Sleep(gatherFor)
+			time.Sleep(batchDelay)
 			w.writeAll(line)
 		case done := <-w.flush:
 			w.writeAll(nil)
@@ -74,8 +74,8 @@
 	}
 }
 
-// writeAll writes a line and all that wait in one call. An error of the log's
-// reader can be told nobody.
+// writeAll writes the batch and all queued lines in one call. Write errors are ignored,
+// since there is nowhere to report them.
 func (w *Writer) writeAll(batch []byte) {
 	for {
 		select {
--- a/internal/logging/writer_test.go
+++ b/internal/logging/writer_test.go
@@ -9,22 +9,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// stalled is a reader of the log that takes nothing until it is released.
-type stalled struct{ release chan struct{} }
+// stalledWriter is a writer that blocks until it is released.
+type stalledWriter struct{ release chan struct{} }
 
-func (s stalled) Write(p []byte) (int, error) {
+func (s stalledWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// The pipe behind standard output is full and nobody reads it. Calls must go on:
-// lines are dropped and counted, and a stop waits for a moment only.
+// Guards against logging that blocks requests: the pipe behind standard output is full and
+// not read. Lines must be dropped and counted, and Flush must return soon.
 func TestStalledReaderBlocksNobody(t *testing.T) {
-	s := stalled{make(chan struct{})}
+	s := stalledWriter{make(chan struct{})}
 	defer close(s.release)
 	w := NewWriter(s)
 	start := time.Now()
-	for range 3 * queueLines {
+	for range 3 * maxQueuedLines {
 		_, err := w.Write([]byte("line\n"))
 		assert.NilError(t, err)
 	}
@@ -40,7 +40,7 @@
 		_, _ = w.Write([]byte(l))
 	}
 	w.Flush()
-	time.Sleep(2 * gatherFor)
+	time.Sleep(2 * batchDelay)
 	w.Flush()
 	assert.Equal(t, strings.ReplaceAll(b.String(), "\n", ""), "abc")
 }
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version tells which build a program is.
+// Package version reports the version that a program was built from.
 package version
 
 import "runtime/debug"
