--- a/internal/soak/build.go
+++ b/internal/soak/build.go
@@ -5,7 +5,7 @@
 	"os/exec"
 )
 
-// daemonPackage is what is run.
+// daemonPackage is the import path of the daemon under test.
 const daemonPackage = "github.com/cactusproxy/cactusproxy/cmd/cactusproxyd"
 
 func goBuild(ctx context.Context, out string) *exec.Cmd {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -14,15 +14,15 @@
 
 const (
 	hostName = "soak.example"
-	// deadline is what callers say that they will wait.
+	// deadline is the timeout that callers announce in their requests.
 	deadline = 2 * time.Second
-	// lateBy is how much later than its deadline an undisturbed host may answer:
-	// far more than it should take, since the machine may be busy.
-	lateBy = 2 * time.Second
+	// lateTolerance is how long after the deadline an undisturbed host may still
+	// respond. It is generous because the machine may be busy.
+	lateTolerance = 2 * time.Second
 )
 
-// sent is one request and what came of it.
-type sent struct {
+// request is one request of a caller and its result.
+type request struct {
 	id       string
 	process  *process
 	run      int // generation of the process when it was sent
@@ -34,16 +34,17 @@
 	body     string
 	seal     string
 	err      error
-	// touched is what inTouch said of it when it ended: a later disturbance hides what the
-	// host was then.
-	touched bool
+	// undisturbed is the result of undisturbedDuring when the request ended. It is stored
+	// because a later disturbance overwrites the state that it depends on.
+	undisturbed bool
 }
 
-// caller sends requests one after another until the soak ends.
+// caller sends requests one after another until ctx ends. Callers with an even number
+// keep their connections alive.
 func (s *Soak) caller(ctx context.Context, n int) {
 	rng := rand.New(rand.NewPCG(s.seed, uint64(1000+n)))
-	kept := &http.Client{Transport: &http.Transport{}, CheckRedirect: asAnswered}
-	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: asAnswered}
+	keepAlive := &http.Client{Transport: &http.Transport{}, CheckRedirect: keepRedirect}
+	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, CheckRedirect: keepRedirect}
 	for i := 0; ctx.Err() == nil; i++ {
 		p := s.balance(rng)
 		if p == nil {
@@ -52,22 +53,22 @@
 		}
 		c := fresh
 		if n%2 == 0 {
-			c = kept
+			c = keepAlive
 		}
-		r := &sent{id: fmt.Sprintf("s%d-c%d-%d", s.seed, n, i), process: p, run: p.generation()}
+		r := &request{id: fmt.Sprintf("s%d-c%d-%d", s.seed, n, i), process: p, run: p.generation()}
 		s.sendOne(c, rng, r, s.readRoute(n+i))
 		s.check(r)
 		time.Sleep(time.Duration(rng.Int64N(int64(30 * time.Millisecond))))
 	}
 }
 
-// asAnswered has a caller take a redirect for the answer that it is.
-func asAnswered(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// keepRedirect makes a client return a redirect instead of following it.
+func keepRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// uploadSize is the size of large bodies in bytes.
+// uploadSize is the size of upload bodies in bytes.
 const uploadSize = 60 << 10
 
-func (s *Soak) sendOne(c *http.Client, rng *rand.Rand, r *sent, reads route) {
+func (s *Soak) sendOne(c *http.Client, rng *rand.Rand, r *request, reads route) {
 	method := http.MethodGet
 	r.route = reads
 	var body []byte
@@ -81,8 +82,8 @@
 		body = make([]byte, uploadSize)
 	}
 	r.size = len(body)
-	// A caller goes away half a second after its deadline, whatever comes.
-	ctx, cancel := context.WithTimeout(context.Background(), deadline+lateBy)
+	// The caller gives up lateTolerance after its deadline.
+	ctx, cancel := context.WithTimeout(context.Background(), deadline+lateTolerance)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+r.process.callers+"/"+r.route.name+"/7", io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
@@ -106,10 +107,10 @@
 		r.body = string(raw)
 	}
 	r.err, r.end = err, time.Now()
-	r.touched = s.inTouch(r)
+	r.undisturbed = s.undisturbedDuring(r)
 }
 
-// balance returns a host that the balancer would choose, or nil.
+// balance picks a random host that is in rotation, or nil if there is none.
 func (s *Soak) balance(rng *rand.Rand) *process {
 	ready := s.rotation.Load()
 	if ready == nil || len(*ready) == 0 {
@@ -118,8 +119,8 @@
 	return (*ready)[rng.IntN(len(*ready))]
 }
 
-// balancer asks all hosts twice a second whether they are ready; two misses take a
-// host out.
+// balancer simulates the platform's balancer: it polls the readiness of all hosts and takes
+// a host out of rotation after two failures in a row.
 func (s *Soak) balancer(ctx context.Context) {
 	c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	misses := make(map[*process]int)
--- a/internal/soak/disturb.go
+++ b/internal/soak/disturb.go
@@ -11,66 +11,69 @@
 	"github.com/cactusproxy/cactusproxy/platform/standin"
 )
 
-// disturbance is something done to the deployment.
+// disturbance is a fault that is injected into the deployment, or a planned change. Its do
+// returns a description for the report.
 type disturbance struct {
 	name string
 	do   func(s *Soak, ctx context.Context, rng *rand.Rand) string
 }
 
-// disturbances are done in any order; several may overlap.
+// disturbances are chosen at random and may overlap. The order of the list determines what
+// a seed does.
 var disturbances = []disturbance{
 	{"pause", (*Soak).pause},
 	{"kill", (*Soak).kill},
 	{"stop", (*Soak).stop},
 	{"stop", (*Soak).stop},
 	{"reload", (*Soak).reload},
-	{"store wire silent", (*Soak).silenceStore},
+	{"store wire silent", (*Soak).blackholeStore},
 	{"store wire reset", (*Soak).resetStore},
-	{"peer wire silent", (*Soak).silencePeer},
+	{"peer wire silent", (*Soak).blackholePeer},
 	{"peer wire slow", (*Soak).delayPeer},
 	{"target wire reset", (*Soak).resetTarget},
-	{"target wire silent", (*Soak).silenceTarget},
-	{"store out", (*Soak).storeOut},
-	{"store loses answers", (*Soak).storeLoses},
+	{"target wire silent", (*Soak).blackholeTarget},
+	{"store out", (*Soak).storeOutage},
+	{"store loses answers", (*Soak).storeLosesReplies},
 	{"store slow", (*Soak).storeSlow},
 	{"history dropped", (*Soak).dropHistory},
 	{"target replaced", (*Soak).replaceTarget},
 	{"target crashes", (*Soak).crashTarget},
 	{"configuration", (*Soak).changeConfig},
-	{"configurations", (*Soak).stormConfig},
-	{"target starts again", (*Soak).startTargetAgain},
-	{"entry of another writer", (*Soak).scribble},
+	{"configurations", (*Soak).burstConfig},
+	{"target starts again", (*Soak).restartTarget},
+	{"entry of another writer", (*Soak).writeForeignEntry},
 	{"zone evacuated", (*Soak).evacuate},
 	{"limit named", (*Soak).nameLimit},
-	{"rest asked for", (*Soak).askForRest},
-	{"target leaves by its answers", (*Soak).leaveByAnswers},
+	{"rest asked for", (*Soak).requestRest},
+	{"target leaves by its answers", (*Soak).leaveByResponses},
 }
 
-// firstDisturbances is how many of them seeds below firstSeedOfMore play, moreDisturbances those
-// below firstSeedOfAll: a seed must go on playing what it played when it was found.
+// Seeds below firstSeedOfSecond use the first firstDisturbances entries of the list, seeds
+// below firstSeedOfAll the first secondDisturbances, and others all. New entries are
+// appended, so that seeds that once found a bug keep their sequence of disturbances.
 const (
-	firstDisturbances = 19
-	firstSeedOfMore   = 1000
-	moreDisturbances  = 22
-	firstSeedOfAll    = 10_000
+	firstDisturbances  = 19
+	firstSeedOfSecond  = 1000
+	secondDisturbances = 22
+	firstSeedOfAll     = 10_000
 )
 
-// played returns the disturbances that a seed plays.
-func played(seed uint64) []disturbance {
+// disturbancesFor returns the disturbances that a seed chooses from.
+func disturbancesFor(seed uint64) []disturbance {
 	switch {
-	case seed < firstSeedOfMore:
+	case seed < firstSeedOfSecond:
 		return disturbances[:firstDisturbances]
 	case seed < firstSeedOfAll:
-		return disturbances[:moreDisturbances]
+		return disturbances[:secondDisturbances]
 	default:
 		return disturbances
 	}
 }
 
-// disturb does one thing after another for as long as the run lasts.
+// disturb applies random disturbances, one after another, for the configured time.
 func (s *Soak) disturb(ctx context.Context) {
-	rng := s.rngFor()
-	list := played(s.seed)
+	rng := s.disturbanceRand()
+	list := disturbancesFor(s.seed)
 	for end := time.Now().Add(s.For); time.Now().Before(end) && ctx.Err() == nil; {
 		d := list[rng.IntN(len(list))]
 		on := d.do(s, ctx, rng)
@@ -81,72 +84,75 @@
 	}
 }
 
-func (s *Soak) any(rng *rand.Rand) *process { return s.processes[rng.IntN(len(s.processes))] }
+func (s *Soak) anyProcess(rng *rand.Rand) *process { return s.processes[rng.IntN(len(s.processes))] }
 
-// span is how long a disturbance lasts.
-func span(rng *rand.Rand) time.Duration { return time.Duration(300+rng.IntN(2500)) * time.Millisecond }
+// randomDuration returns the duration of a disturbance.
+func randomDuration(rng *rand.Rand) time.Duration {
+	return time.Duration(300+rng.IntN(2500)) * time.Millisecond
+}
 
-// mark notes a disturbance of a process other than a planned stop.
-func (s *Soak) mark(p *process) {
-	p.disturb()
+// recordDisturbance records a disturbance of a process other than a planned stop.
+func (s *Soak) recordDisturbance(p *process) {
+	p.recordDisturbance()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.marks[p] = append(s.marks[p], time.Now())
+	s.disturbedAt[p] = append(s.disturbedAt[p], time.Now())
 }
 
-// markTolerance is how long before a request a disturbance still counts.
-const markTolerance = 3 * time.Second
+// disturbanceMargin is how long before a request a disturbance may still affect it.
+const disturbanceMargin = 3 * time.Second
 
 // otherwiseDisturbed reports whether a process was disturbed around a request by
 // something other than a planned stop.
-func (s *Soak) otherwiseDisturbed(p *process, r *sent) bool {
+func (s *Soak) otherwiseDisturbed(p *process, r *request) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, at := range s.marks[p] {
-		if at.After(r.at.Add(-markTolerance)) && at.Before(r.end.Add(time.Second)) {
+	for _, at := range s.disturbedAt[p] {
+		if at.After(r.at.Add(-disturbanceMargin)) && at.Before(r.end.Add(time.Second)) {
 			return true
 		}
 	}
 	return false
 }
 
-// markStore notes that a disturbance of the store begins or ends.
-func (s *Soak) markStore() {
+// recordStoreDisturbance records the start or end of a disturbance of the store.
+func (s *Soak) recordStoreDisturbance() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.storeMarks = append(s.storeMarks, time.Now())
+	s.storeDisturbedAt = append(s.storeDisturbedAt, time.Now())
 }
 
-// calm reports whether neither the store nor a host was disturbed in a span, or so
-// shortly before it that they may not have recovered. A store that is out for the
-// whole span was marked before it: no disturbance lasts longer than storeMemory.
-func (s *Soak) calm(p *process, from, to time.Time) bool {
+// undisturbedBetween reports whether neither the store nor a host was disturbed in an
+// interval, nor within recoveryMargin before it. A disturbance that lasts for the whole
+// interval is found by its beginning, since none lasts longer than recoveryMargin.
+func (s *Soak) undisturbedBetween(p *process, from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, at := range s.storeMarks {
-		if at.After(from.Add(-storeMemory)) && at.Before(to) {
+	for _, at := range s.storeDisturbedAt {
+		if at.After(from.Add(-recoveryMargin)) && at.Before(to) {
 			return false
 		}
 	}
-	for _, at := range s.marks[p] {
-		if at.After(from.Add(-storeMemory)) && at.Before(to) {
+	for _, at := range s.disturbedAt[p] {
+		if at.After(from.Add(-recoveryMargin)) && at.Before(to) {
 			return false
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.expected && p.disturbed.Before(from.Add(-markTolerance))
+	return !p.expected && p.disturbed.Before(from.Add(-disturbanceMargin))
 }
 
-// inTouch reports whether neither the store nor a request's host was disturbed from
-// markTolerance before the request to its end. What goes on for longer than that has a
-// mark within it: no disturbance lasts markTolerance, and both its ends are marked.
-func (s *Soak) inTouch(r *sent) bool {
-	from := r.at.Add(-markTolerance)
+// undisturbedDuring reports whether neither the store nor the host of a request was
+// disturbed from disturbanceMargin before the request until its end. Every disturbance that
+// overlaps this interval has its start or end recorded in it, since both are recorded and
+// no disturbance lasts as long as disturbanceMargin.
+func (s *Soak) undisturbedDuring(r *request) bool {
+	from := r.at.Add(-disturbanceMargin)
 	disturbed := func(at time.Time) bool { return at.After(from) && at.Before(r.end) }
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if slices.ContainsFunc(s.storeMarks, disturbed) || slices.ContainsFunc(s.marks[r.process], disturbed) {
+	if slices.ContainsFunc(s.storeDisturbedAt, disturbed) || slices.ContainsFunc(s.disturbedAt[r.process], disturbed) {
 		return false
 	}
 	p := r.process
@@ -155,111 +161,112 @@
 	return !p.expected && p.disturbed.Before(from)
 }
 
-// storeMemory is longer than any disturbance and the recovery from it.
-const storeMemory = 3*time.Second + markTolerance
+// recoveryMargin is longer than any disturbance together with the recovery from it.
+const recoveryMargin = 3*time.Second + disturbanceMargin
 
 func (s *Soak) pause(_ context.Context, rng *rand.Rand) string {
-	p := s.any(rng)
-	d := span(rng)
-	s.mark(p)
+	p := s.anyProcess(rng)
+	d := randomDuration(rng)
+	s.recordDisturbance(p)
 	p.signal(syscall.SIGSTOP)
 	time.AfterFunc(d, func() {
 		p.signal(syscall.SIGCONT)
-		s.mark(p)
+		s.recordDisturbance(p)
 	})
 	return p.name + " for " + d.String()
 }
 
 func (s *Soak) kill(ctx context.Context, rng *rand.Rand) string {
-	p := s.any(rng)
-	s.mark(p)
+	p := s.anyProcess(rng)
+	s.recordDisturbance(p)
 	p.restart(ctx, syscall.SIGKILL)
-	s.mark(p)
+	s.recordDisturbance(p)
 	return p.name
 }
 
 func (s *Soak) stop(ctx context.Context, rng *rand.Rand) string {
-	p := s.any(rng)
+	p := s.anyProcess(rng)
 	s.restarts.Go(func() { p.restart(ctx, syscall.SIGTERM) })
 	return p.name
 }
 
 func (s *Soak) reload(_ context.Context, rng *rand.Rand) string {
-	p := s.any(rng)
+	p := s.anyProcess(rng)
 	p.signal(syscall.SIGHUP)
 	return p.name
 }
 
-// forAWhile disturbs a wire of a process and heals it later.
-func (s *Soak) forAWhile(p *process, w *Wire, rng *rand.Rand, disturb func()) string {
-	d := span(rng)
-	s.mark(p)
+// disturbProxy injects a fault into a proxy of a process and heals it after a random
+// duration.
+func (s *Soak) disturbProxy(p *process, w *FaultProxy, rng *rand.Rand, disturb func()) string {
+	d := randomDuration(rng)
+	s.recordDisturbance(p)
 	disturb()
 	time.AfterFunc(d, func() {
 		w.Heal()
-		s.mark(p)
+		s.recordDisturbance(p)
 	})
 	return p.name + " for " + d.String()
 }
 
-func (s *Soak) silenceStore(_ context.Context, rng *rand.Rand) string {
-	p := s.any(rng)
-	return s.forAWhile(p, p.store, rng, p.store.Silence)
+func (s *Soak) blackholeStore(_ context.Context, rng *rand.Rand) string {
+	p := s.anyProcess(rng)
+	return s.disturbProxy(p, p.storeProxy, rng, p.storeProxy.Blackhole)
 }
 
-func (s *Soak) silencePeer(_ context.Context, rng *rand.Rand) string {
-	p := s.any(rng)
-	return s.forAWhile(p, p.peer, rng, p.peer.Silence)
+func (s *Soak) blackholePeer(_ context.Context, rng *rand.Rand) string {
+	p := s.anyProcess(rng)
+	return s.disturbProxy(p, p.peerProxy, rng, p.peerProxy.Blackhole)
 }
 
 func (s *Soak) delayPeer(_ context.Context, rng *rand.Rand) string {
-	p := s.any(rng)
-	return s.forAWhile(p, p.peer, rng, func() { p.peer.Delay(50 * time.Millisecond) })
+	p := s.anyProcess(rng)
+	return s.disturbProxy(p, p.peerProxy, rng, func() { p.peerProxy.Delay(50 * time.Millisecond) })
 }
 
 func (s *Soak) resetStore(_ context.Context, rng *rand.Rand) string {
-	p := s.any(rng)
-	p.store.Reset()
+	p := s.anyProcess(rng)
+	p.storeProxy.Reset()
 	return p.name
 }
 
-func (s *Soak) anyTarget(rng *rand.Rand) *backend {
+func (s *Soak) anyTarget(rng *rand.Rand) *testTarget {
 	live := s.targets.live()
 	return live[rng.IntN(len(live))]
 }
 
 func (s *Soak) resetTarget(_ context.Context, rng *rand.Rand) string {
 	b := s.anyTarget(rng)
-	b.needs.unheard()
-	b.wire.Reset()
+	b.signals.markLost()
+	b.proxy.Reset()
 	return b.ID
 }
 
-func (s *Soak) silenceTarget(_ context.Context, rng *rand.Rand) string {
+func (s *Soak) blackholeTarget(_ context.Context, rng *rand.Rand) string {
 	b := s.anyTarget(rng)
-	b.needs.unheard()
-	b.wire.Silence()
-	time.AfterFunc(span(rng), b.wire.Heal)
+	b.signals.markLost()
+	b.proxy.Blackhole()
+	time.AfterFunc(randomDuration(rng), b.proxy.Heal)
 	return b.ID
 }
 
-// storeFault has the store treat all callers badly for a while.
+// storeFault injects a fault into the store for a random duration.
 func (s *Soak) storeFault(rng *rand.Rand, f standin.Fault) string {
-	d := span(rng)
-	s.markStore()
+	d := randomDuration(rng)
+	s.recordStoreDisturbance()
 	s.store.Set(f)
 	time.AfterFunc(d, func() {
 		s.store.Set(standin.Fault{})
-		s.markStore()
+		s.recordStoreDisturbance()
 	})
 	return "for " + d.String()
 }
 
-func (s *Soak) storeOut(_ context.Context, rng *rand.Rand) string {
+func (s *Soak) storeOutage(_ context.Context, rng *rand.Rand) string {
 	return s.storeFault(rng, standin.Fault{Refuse: rng.IntN(2) == 0, Silent: true})
 }
 
-func (s *Soak) storeLoses(_ context.Context, rng *rand.Rand) string {
+func (s *Soak) storeLosesReplies(_ context.Context, rng *rand.Rand) string {
 	return s.storeFault(rng, standin.Fault{LoseAnswers: true})
 }
 
@@ -274,28 +281,28 @@
 
 func (s *Soak) replaceTarget(_ context.Context, rng *rand.Rand) string {
 	b := s.anyTarget(rng)
-	return b.ID + failure(s.targets.replace(b))
+	return b.ID + errorSuffix(s.targets.replace(b))
 }
 
 func (s *Soak) crashTarget(_ context.Context, rng *rand.Rand) string {
 	b := s.anyTarget(rng)
-	return b.ID + failure(s.targets.crash(b))
+	return b.ID + errorSuffix(s.targets.crash(b))
 }
 
-func (s *Soak) startTargetAgain(_ context.Context, rng *rand.Rand) string {
+func (s *Soak) restartTarget(_ context.Context, rng *rand.Rand) string {
 	b := s.anyTarget(rng)
-	return b.ID + failure(s.targets.startAgain(b))
+	return b.ID + errorSuffix(s.targets.restart(b))
 }
 
-func (s *Soak) scribble(_ context.Context, rng *rand.Rand) string {
+func (s *Soak) writeForeignEntry(_ context.Context, rng *rand.Rand) string {
 	b := s.anyTarget(rng)
 	foreign := standin.InvalidEntries()
 	text := foreign[rng.IntN(len(foreign))]
-	s.targets.scribble(b, text, rng.IntN(2) == 0)
+	s.targets.writeForeignEntry(b, text, rng.IntN(2) == 0)
 	return b.ID + " " + text
 }
 
-func failure(err error) string {
+func errorSuffix(err error) string {
 	if err == nil {
 		return ""
 	}
@@ -307,7 +314,7 @@
 	return fmt.Sprint(s.version)
 }
 
-func (s *Soak) stormConfig(ctx context.Context, _ *rand.Rand) string {
+func (s *Soak) burstConfig(ctx context.Context, _ *rand.Rand) string {
 	for range 10 {
 		s.configure()
 		sleep(ctx, 30*time.Millisecond)
@@ -315,17 +322,17 @@
 	return fmt.Sprint(s.version)
 }
 
-// healAll ends all disturbances and starts what is down.
+// healAll ends all faults of the store, processes and proxies.
 func (s *Soak) healAll() {
 	s.store.Set(standin.Fault{})
-	s.markStore()
+	s.recordStoreDisturbance()
 	for _, p := range s.processes {
 		p.signal(syscall.SIGCONT)
-		p.store.Heal()
-		p.peer.Heal()
-		s.mark(p)
+		p.storeProxy.Heal()
+		p.peerProxy.Heal()
+		s.recordDisturbance(p)
 	}
 	for _, b := range s.targets.live() {
-		b.wire.Heal()
+		b.proxy.Heal()
 	}
 }
--- a/internal/soak/evacuate.go
+++ b/internal/soak/evacuate.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Availability zones of targets. All hosts are in the near one.
+// Availability zones of the targets. All hosts are in the near zone.
 const (
 	nearZone = "a"
 	farZone  = "b"
-	// farEach is how many targets there are to one of the far zone.
-	farEach = 2
+	// farZoneInterval is the interval of targets in the far zone: every n-th one is there.
+	farZoneInterval = 2
 )
 
-// evacuation is an order to empty the near zone, whose targets all hosts prefer.
+// evacuation is an order to evacuate the near zone, whose targets all hosts prefer.
 type evacuation struct{ from, to time.Time }
 
-// evacuate has an operator empty the near zone. Nothing else is disturbed anew until it is taken
-// back: a host that is disturbed all the time is never held to the order.
+// evacuate orders the evacuation of the near zone and withdraws the order later. No new
+// disturbance starts in between, since only undisturbed hosts are checked against the order.
 func (s *Soak) evacuate(ctx context.Context, rng *rand.Rand) string {
-	lasts := inForce + markTolerance + span(rng)
+	lasts := maxPropagation + disturbanceMargin + randomDuration(rng)
 	s.mu.Lock()
 	s.store.Put("op", "evacuate/"+nearZone, []byte("{}"))
 	s.evacuations = append(s.evacuations, evacuation{from: time.Now(), to: time.Now().Add(lasts)})
@@ -30,8 +30,8 @@
 	return lasts.String()
 }
 
-// checkEvacuations looks for requests that undisturbed hosts sent to a target of a zone long
-// after the order to empty it.
+// checkEvacuations looks for requests that undisturbed hosts sent to a target in the near
+// zone more than maxPropagation after the order to evacuate it.
 func (s *Soak) checkEvacuations() {
 	byID := s.byID()
 	for _, b := range s.targets.all() {
@@ -39,18 +39,18 @@
 			continue
 		}
 		for id, at := range b.StartTimes() {
-			if r := byID[id]; r != nil && s.sentAgainstOrder(r, at) {
-				s.broken("request %s: run by %s of an evacuated zone", id, b.ID)
+			if r := byID[id]; r != nil && s.sentDuringEvacuation(r, at) {
+				s.reportViolation("request %s: run by %s of an evacuated zone", id, b.ID)
 			}
 		}
 	}
 }
 
-// sentAgainstOrder reports whether a request that began to run at a moment had been sent by a
-// host in touch while the near zone had to be empty.
-func (s *Soak) sentAgainstOrder(r *sent, at time.Time) bool {
+// sentDuringEvacuation reports whether a request that started to run at a given time was
+// sent by an undisturbed host while an order to evacuate the near zone was in force.
+func (s *Soak) sentDuringEvacuation(r *request, at time.Time) bool {
 	for _, e := range s.evacuations {
-		if r.at.After(e.from.Add(inForce)) && at.Before(e.to) && r.touched {
+		if r.at.After(e.from.Add(maxPropagation)) && at.Before(e.to) && r.undisturbed {
 			return true
 		}
 	}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -14,74 +14,75 @@
 	"time"
 )
 
-// process is one entry host: a real daemon, with wires to the store and from its
-// peers.
+// process is one entry host: a real daemon, which reaches the store and is reached by its
+// peers through fault proxies.
 type process struct {
-	name      string
-	dir       string
-	binary    string
-	callers   string
-	readiness string
-	operators string
-	peers     string
-	store     *Wire
-	peer      *Wire
+	name       string
+	dir        string
+	binary     string
+	callers    string
+	readiness  string
+	operators  string
+	peers      string
+	storeProxy *FaultProxy
+	peerProxy  *FaultProxy
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
-	// run counts starts; a request that spans two was cut by one of them.
+	// run counts starts. A request that spans two runs was cut off by the restart.
 	run int
-	// expected is set while the process is to end, killed if it was killed.
+	// expected is set while the process is being ended, killed if by SIGKILL.
 	expected bool
 	killed   bool
-	// restarting is set from the first signal to end the process until it was
+	// restarting is set from the first signal that ends the process until it has been
 	// started again.
 	restarting bool
 	exited     chan struct{}
-	// disturbed is the end of the last disturbance of this process or its wires.
+	// disturbed is the time of the last disturbance of the process or its proxies.
 	disturbed time.Time
 	paused    bool
-	// termAt is when the process was last told to stop.
+	// termAt is when the process last got SIGTERM.
 	termAt time.Time
 }
 
 func newProcess(name, dir, binary, storeAddr string, addrs *addresses) (*process, error) {
 	p := &process{name: name, dir: dir, binary: binary}
 	for _, addr := range []*string{&p.callers, &p.readiness, &p.operators, &p.peers} {
-		free, err := addrs.draw()
+		free, err := addrs.allocate()
 		if err != nil {
 			return nil, err
 		}
 		*addr = free
 	}
 	var err error
-	if p.store, err = NewWire(storeAddr); err != nil {
+	if p.storeProxy, err = NewFaultProxy(storeAddr); err != nil {
 		return nil, err
 	}
-	p.peer, err = NewWire(p.peers)
+	p.peerProxy, err = NewFaultProxy(p.peers)
 	return p, err
 }
 
-// ownIP returns a loopback address for the hosts of this run.
+// ownIP returns a loopback address for the hosts of this run, derived from the process ID.
 //
-// Everybody else takes ports of 127.0.0.1, one of which might be taken before the daemon listens.
+// On 127.0.0.1 another program could take a free port before the daemon listens on it.
 func ownIP() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", 1+pid>>16&0x7f, pid>>8&0xff, 1+pid&0x7f)
 }
 
-// addresses gives the processes of a run addresses to listen on.
+// addresses allocates listen addresses to the processes of a run.
 type addresses struct {
-	ip    string
-	drawn map[string]bool
+	ip        string
+	allocated map[string]bool
 }
 
-func newAddresses() *addresses { return &addresses{ip: ownIP(), drawn: make(map[string]bool)} }
+func newAddresses() *addresses { return &addresses{ip: ownIP(), allocated: make(map[string]bool)} }
 
-// draw returns an address that is free and that no process of the run was given.
+// allocate returns a free address that it has not returned before.
 //
-// An address is free until a process listens there, and would be drawn twice.
-func (a *addresses) draw() (string, error) {
+// An address stays free until a process listens on it, so that the kernel may offer it
+// more than once.
+func (a *addresses) allocate() (string, error) {
 	for {
 		l, err := net.Listen("tcp", net.JoinHostPort(a.ip, "0"))
 		if err != nil {
@@ -91,8 +92,8 @@
 		if err := l.Close(); err != nil {
 			return "", err
 		}
-		if !a.drawn[addr] {
-			a.drawn[addr] = true
+		if !a.allocated[addr] {
+			a.allocated[addr] = true
 			return addr, nil
 		}
 	}
@@ -112,7 +113,7 @@
 	"retries": {"ratio": 0.2, "window": "10s", "reserve": 60},
 	"measuring": {"perTarget": 60},
 	"drain": {"notice": "700ms", "limit": "5s"},
-}`, p.name, p.callers, p.readiness, p.operators, p.peers, p.peer.Addr(), strings.Join(quoted, ","), p.store.Addr(), first)
+}`, p.name, p.callers, p.readiness, p.operators, p.peers, p.peerProxy.Addr(), strings.Join(quoted, ","), p.storeProxy.Addr(), first)
 	return os.WriteFile(p.settings(), []byte(text), 0o600)
 }
 
@@ -142,17 +143,17 @@
 	return nil
 }
 
-// signal sends a signal to the process that this soak started.
+// signal sends a signal to the process, if it was started.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
-		_ = p.cmd.Process.Signal(s) // it may just have ended
+		_ = p.cmd.Process.Signal(s) // the process may just have ended
 	}
 }
 
-// end ends the process with a signal and waits; a process that does not end is
-// killed.
+// end ends the process with a signal and waits for it. It kills a process that has not
+// ended after endTimeout.
 func (p *process) end(s syscall.Signal) {
 	p.mu.Lock()
 	p.expected = true
@@ -172,9 +173,9 @@
 	}
 }
 
-// restart ends the process with a signal and starts it again. A signal that comes
-// while another restart is under way is sent, and that one starts the process: two
-// starts at once would leave two processes that want the same addresses.
+// restart ends the process with a signal and starts it again. If a restart is already in
+// progress it only sends the signal: starting the process twice would leave two processes
+// that compete for the same addresses.
 func (p *process) restart(ctx context.Context, s syscall.Signal) {
 	p.mu.Lock()
 	if p.restarting {
@@ -188,7 +189,7 @@
 	p.mu.Unlock()
 	p.end(s)
 	if ctx.Err() == nil {
-		_ = p.start() // a host that is down is what the run goes on with
+		_ = p.start() // on failure the run continues without this host
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -198,8 +199,8 @@
 // endTimeout is the time from SIGTERM to SIGKILL.
 const endTimeout = 6 * time.Second
 
-// lastWords returns the end of the process's log.
-func (p *process) lastWords() string {
+// logTail returns the end of the process's log.
+func (p *process) logTail() string {
 	const size = 400
 	text, err := os.ReadFile(filepath.Join(p.dir, p.name+".log"))
 	if err != nil {
@@ -208,8 +209,8 @@
 	return string(text[max(0, len(text)-size):])
 }
 
-// endedByItself reports whether the process ended though nobody ended it.
-func (p *process) endedByItself() bool {
+// exitedUnexpectedly reports whether the process ended although the soak did not end it.
+func (p *process) exitedUnexpectedly() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -220,15 +221,15 @@
 	}
 }
 
-// disturb notes that the process, or a wire of its own, is disturbed now.
-func (p *process) disturb() {
+// recordDisturbance records that the process, or one of its proxies, is disturbed now.
+func (p *process) recordDisturbance() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.disturbed = time.Now()
 }
 
-// calmSince reports whether nothing disturbed the process from a moment on.
-func (p *process) calmSince(t time.Time) bool {
+// undisturbedSince reports whether the process has not been disturbed since t.
+func (p *process) undisturbedSince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.paused && p.disturbed.Before(t)
@@ -240,7 +241,7 @@
 	return p.run
 }
 
-// ready asks as the platform's balancer does.
+// ready polls the readiness endpoint, as the platform's balancer does.
 func (p *process) ready(ctx context.Context, c *http.Client) bool {
 	ctx, cancel := context.WithTimeout(ctx, 500*time.Millisecond)
 	defer cancel()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -18,21 +18,21 @@
 	"github.com/cactusproxy/cactusproxy/platform/standin"
 )
 
-// Options of a soak.
+// Options configures a soak.
 type Options struct {
 	Seed uint64
-	// Binary is the daemon's program.
+	// Binary is the path of the daemon.
 	Binary string
-	// Dir takes settings and logs.
+	// Dir is the folder for settings and logs.
 	Dir string
-	// Processes is the number of entry hosts, Callers that of callers.
+	// Processes is the number of entry hosts, Callers the number of callers.
 	Processes int
 	Callers   int
-	// For is how long hosts are disturbed.
+	// For is how long disturbances are injected.
 	For time.Duration
 }
 
-// Soak is one run.
+// Soak is the state of one run.
 type Soak struct {
 	Options
 	seed      uint64
@@ -40,33 +40,34 @@
 	store     *standin.Store
 	server    *http.Server
 	processes []*process
-	targets   *targets
+	targets   *targetSet
 	rotation  atomic.Pointer[[]*process]
 
-	// restarts are the planned stops under way.
+	// restarts waits for planned stops in progress.
 	restarts sync.WaitGroup
 
 	mu       sync.Mutex
 	findings []string
-	all      []*sent
-	// marks are the disturbances of processes other than their planned stops.
-	marks map[*process][]time.Time
-	// storeMarks are the beginnings and ends of disturbances of the store.
-	storeMarks []time.Time
-	// actions is what was done, for the report.
+	requests []*request
+	// disturbedAt holds the times of disturbances of processes other than planned stops.
+	disturbedAt map[*process][]time.Time
+	// storeDisturbedAt holds the start and end times of disturbances of the store.
+	storeDisturbedAt []time.Time
+	// actions lists the disturbances, for the report.
 	actions []string
 	version uint64
-	// configuredAt is when the version was written.
+	// configuredAt is when version was written to the store.
 	configuredAt time.Time
-	// evacuations are the orders to empty the near zone so far.
+	// evacuations are the orders to evacuate the near zone so far.
 	evacuations []evacuation
-	// added are the routes that configurations have added so far.
+	// added are the permanent routes that configurations have added so far.
 	added []route
-	// known is when a run of a host first served a route.
-	known map[knowing]time.Time
+	// served is when a run of a host first served a route.
+	served map[servedRoute]time.Time
 }
 
-// Result is what a run found.
+// Result is the outcome of a run. Findings are the violated guarantees, Actions the
+// disturbances, each with its time since the start.
 type Result struct {
 	Seed     uint64
 	Requests int
@@ -75,20 +76,20 @@
 	Actions  []string
 }
 
-// calmAfter is how long callers go on after the last disturbance has ended.
-const calmAfter = 4 * time.Second
+// recoveryTime is how long callers continue after the last disturbance has ended.
+const recoveryTime = 4 * time.Second
 
-// Run plays one soak.
+// Run runs one soak and checks its results.
 func Run(ctx context.Context, o Options) (Result, error) {
 	s := &Soak{
-		Options: o,
-		seed:    o.Seed,
-		start:   time.Now(),
-		store:   standin.NewStore(),
-		marks:   make(map[*process][]time.Time),
-		known:   make(map[knowing]time.Time),
+		Options:     o,
+		seed:        o.Seed,
+		start:       time.Now(),
+		store:       standin.NewStore(),
+		disturbedAt: make(map[*process][]time.Time),
+		served:      make(map[servedRoute]time.Time),
 	}
-	s.targets = &targets{store: s.store, zones: s.seed >= firstSeedOfAll}
+	s.targets = &targetSet{store: s.store, zones: s.seed >= firstSeedOfAll}
 	if err := s.setUp(); err != nil {
 		return Result{}, err
 	}
@@ -109,18 +110,18 @@
 	}
 	s.disturb(work)
 	s.healAll()
-	calm := time.Now().Add(calmAfter / 2)
-	sleep(ctx, calmAfter)
+	recovered := time.Now().Add(recoveryTime / 2)
+	sleep(ctx, recoveryTime)
 	halt()
 	wg.Wait()
-	time.Sleep(deadline) // what targets still run ends
+	time.Sleep(deadline) // requests still running at targets end
 	s.checkRuns()
 	s.checkDrains()
 	s.checkEvacuations()
-	s.checkNeeds()
+	s.checkSignals()
 	served := 0
-	for _, r := range s.all {
-		if r.status == http.StatusOK && r.at.After(calm) {
+	for _, r := range s.requests {
+		if r.status == http.StatusOK && r.at.After(recovered) {
 			served++
 		}
 	}
@@ -129,8 +130,8 @@
 }
 
 func (s *Soak) result() Result {
-	r := Result{Seed: s.seed, Requests: len(s.all), Findings: s.findings, Actions: s.actions}
-	for _, q := range s.all {
+	r := Result{Seed: s.seed, Requests: len(s.requests), Findings: s.findings, Actions: s.actions}
+	for _, q := range s.requests {
 		if q.status == http.StatusOK {
 			r.Served++
 		}
@@ -162,7 +163,7 @@
 		}
 		s.processes = append(s.processes, p)
 		if i < 3 {
-			seeds = append(seeds, p.peer.Addr())
+			seeds = append(seeds, p.peerProxy.Addr())
 		}
 	}
 	for _, p := range s.processes {
@@ -174,8 +175,8 @@
 	return nil
 }
 
-// configure writes the next version of the configuration. Each has a route of its
-// own, by which a host shows that it has it in force, and adds one that stays.
+// configure writes the next version of the configuration. Each version has a route that no
+// other has, which shows whether a host has it in force, and adds a permanent route.
 func (s *Soak) configure() {
 	s.mu.Lock()
 	s.version += 1 + s.version%3
@@ -185,19 +186,19 @@
 	added := slices.Clone(s.added)
 	s.mu.Unlock()
 	routes := []standin.Route{
-		entry("lots", "safe", "lots"),
-		entry("bids", "mutating", "bids"),
-		entry("photos", "upload", "photos"),
-		entry(ownRoute(version), "safe", "lots"),
+		configRoute("lots", "safe", "lots"),
+		configRoute("bids", "mutating", "bids"),
+		configRoute("photos", "upload", "photos"),
+		configRoute(versionRoute(version), "safe", "lots"),
 	}
 	for _, r := range added {
-		routes = append(routes, entry(r.name, "safe", "lots"))
+		routes = append(routes, configRoute(r.name, "safe", "lots"))
 	}
 	s.store.Put("op", "config", standin.Config(version, routes...))
 }
 
-// entry is a route as the configuration has it.
-func entry(name, kind, service string) standin.Route {
+// configRoute returns a route of the configuration.
+func configRoute(name, kind, service string) standin.Route {
 	return standin.Route{Name: name, Host: hostName, Prefix: "/" + name + "/", Type: kind, Service: service, Timeout: "3s", MaxAttempts: 2}
 }
 
@@ -209,8 +210,8 @@
 		}
 		p.signal(syscall.SIGCONT)
 		p.end(syscall.SIGKILL)
-		p.store.Close()
-		p.peer.Close()
+		p.storeProxy.Close()
+		p.peerProxy.Close()
 	}
 	s.targets.close()
 	_ = s.server.Close()
@@ -223,13 +224,13 @@
 	}
 }
 
-// isRefused reports whether a connection was refused: nobody read anything.
-func isRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// isConnRefused reports whether a connection was refused, so that no host read the request.
+func isConnRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// rngFor returns the dice of a run's disturbances.
-func (s *Soak) rngFor() *rand.Rand { return rand.New(rand.NewPCG(s.seed, 1)) }
+// disturbanceRand returns the random source of the disturbances.
+func (s *Soak) disturbanceRand() *rand.Rand { return rand.New(rand.NewPCG(s.seed, 1)) }
 
-// Build compiles the daemon into a folder and returns its path.
+// Build compiles the daemon into dir and returns the path of the binary.
 func Build(ctx context.Context, dir string) (string, error) {
 	binary := filepath.Join(dir, "cactusproxyd")
 	cmd := goBuild(ctx, binary)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -7,36 +7,37 @@
 	"gotest.tools/v3/assert"
 )
 
-// regressions are seeds that once broke a promise, or a check, with the cause.
+// regressions are seeds that once exposed a fault, with the causes:
 //
-//	1  a call that left between the note that its host is to be killed and the kill was
-//	   taken for one that an undisturbed host cut off: the check was mended; and a host
-//	   found its port taken by another test and ended: each run has an address of its own
-//	200  the same as the first of seed 1, for a host that had also been stopped within six
-//	   seconds before: the check took it for one that was stopping; it was mended; and a
-//	   kill during a stop led to two starts of one host: restarts go one at a time
-//	401  two hosts were given the same address, and one ended at its start: no address is
-//	   drawn twice
+//	1    A request sent after a kill was recorded and before the process died was taken
+//	     for one cut off by an undisturbed host. A host found its port taken by another
+//	     test and exited; each run now has an IP address of its own.
+//	200  As the first of seed 1, but the host had also been stopped within the previous
+//	     six seconds, and the check attributed the failure to the stop. A kill during a
+//	     stop started one host twice; restarts of a host are now serialized.
+//	401  Two hosts were given the same address and one exited at its start; no address
+//	     is now allocated twice.
 var regressions = []uint64{1, 200, 401}
 
-// shortRun is how long hosts are disturbed in CI.
+// shortRun is how long disturbances are injected in CI.
 const shortRun = 5 * time.Second
 
-// Addresses are drawn for hundreds of hosts, none of which listens yet. All differ.
+// Guards against giving two hosts the same address: a port stays free, and may be offered
+// again, until a host listens on it.
 func TestNoAddressIsDrawnTwice(t *testing.T) {
 	a := newAddresses()
 	seen := make(map[string]bool)
 	for range 2_000 {
-		addr, err := a.draw()
+		addr, err := a.allocate()
 		assert.NilError(t, err)
 		assert.Check(t, !seen[addr], addr)
 		seen[addr] = true
 	}
 }
 
-// A proper request is told that it is wrong. That is a promise broken, unless a host that
-// was disturbed, or that need not have heard of it yet, does not find its route. A host that
-// served the route before has no such excuse.
+// Guards against a check that misses valid requests rejected as invalid. Only a 404 may be
+// legitimate: for a route that the host need not have yet, or if the host was disturbed, and
+// in neither case if the host has served the route before.
 func TestDeniedRequestsAreFound(t *testing.T) {
 	now := time.Now()
 	long, justNow := now.Add(-time.Minute), now.Add(-time.Second)
@@ -63,20 +64,20 @@
 		{"served", 200, old, long, true, false},
 	} {
 		p := &process{}
-		s := &Soak{known: make(map[knowing]time.Time), marks: map[*process][]time.Time{p: {c.disturbed}}}
+		s := &Soak{served: make(map[servedRoute]time.Time), disturbedAt: map[*process][]time.Time{p: {c.disturbed}}}
 		if c.served {
-			s.noteKnown(&sent{process: p, route: c.route, end: now.Add(-500 * time.Millisecond)})
+			s.recordServed(&request{process: p, route: c.route, end: now.Add(-500 * time.Millisecond)})
 		}
-		r := &sent{process: p, route: c.route, status: c.status, at: now, end: now.Add(time.Millisecond)}
-		assert.Equal(t, s.denied(r), c.want, c.name)
+		r := &request{process: p, route: c.route, status: c.status, at: now, end: now.Add(time.Millisecond)}
+		assert.Equal(t, s.wronglyRejected(r), c.want, c.name)
 	}
 	p := &process{}
-	s := &Soak{known: make(map[knowing]time.Time), storeMarks: []time.Time{justNow}}
-	assert.Check(t, !s.denied(&sent{process: p, route: old, status: 404, at: now, end: now}), "the store is disturbed")
+	s := &Soak{served: make(map[servedRoute]time.Time), storeDisturbedAt: []time.Time{justNow}}
+	assert.Check(t, !s.wronglyRejected(&request{process: p, route: old, status: 404, at: now, end: now}), "an old route while the store is disturbed")
 }
 
-// Real hosts are paused, killed, stopped and cut off from store and peers, while
-// callers go on. No promise to callers may be broken.
+// Guards against violated guarantees while real hosts are paused, killed, stopped and
+// disconnected from the store and their peers.
 func TestSeeds(t *testing.T) {
 	binary, err := Build(t.Context(), t.TempDir())
 	assert.NilError(t, err)
--- a/internal/soak/targets.go
+++ b/internal/soak/targets.go
@@ -11,67 +11,67 @@
 	"github.com/cactusproxy/cactusproxy/platform/standin"
 )
 
-// backend is a target behind a wire.
-type backend struct {
+// testTarget is a simulated target behind a fault proxy.
+type testTarget struct {
 	*standin.Target
 	service string
 	zone    string
 	server  *http.Server
-	wire    *Wire
+	proxy   *FaultProxy
 	gone    bool
-	needs   needs
-	// drainAt is when the store was told that the target drains; zero if not.
+	signals targetSignals
+	// drainAt is when the target's entry was set to draining, or zero.
 	drainAt time.Time
 }
 
-// targets are all targets of a run, those that are gone included.
-type targets struct {
+// targetSet holds all targets of a run, including those that are gone.
+type targetSet struct {
 	store *standin.Store
-	// zones has some of the targets in the far zone.
+	// zones places some of the targets in the far zone.
 	zones bool
 
 	mu   sync.Mutex
-	list []*backend
+	list []*testTarget
 	next int
 }
 
-// Figures of the targets.
+// Capacity and service time of the targets.
 const (
 	targetSlots = 4
 	targetQueue = 8
 	targetWork  = 15 * time.Millisecond
 )
 
-// add starts a target and lists it.
-func (t *targets) add(service string) error {
+// add starts a new target of a service and registers it.
+func (t *targetSet) add(service string) error {
 	t.mu.Lock()
 	t.next++
 	id, zone := fmt.Sprintf("%s-%d", service, t.next), nearZone
-	if t.zones && t.next%farEach == 0 {
+	if t.zones && t.next%farZoneInterval == 0 {
 		zone = farZone
 	}
 	t.mu.Unlock()
-	return t.begin(id, service, zone)
+	return t.startRun(id, service, zone)
 }
 
-// begin starts a run of a target and lists it.
-func (t *targets) begin(id, service, zone string) error {
+// startRun starts a run of a target and registers it.
+func (t *targetSet) startRun(id, service, zone string) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	wire, err := NewWire(l.Addr().String())
+	proxy, err := NewFaultProxy(l.Addr().String())
 	if err != nil {
 		return err
 	}
-	b := &backend{
+	b := &testTarget{
 		Target:  &standin.Target{ID: id, StartMillis: time.Now().UnixMilli(), Slots: targetSlots, Queue: targetQueue, Work: targetWork},
 		service: service,
 		zone:    zone,
-		wire:    wire,
+		proxy:   proxy,
 	}
-	b.LoseResponse, b.CorruptStatus = b.losing, spoiling
-	b.Limit, b.BackOff, b.Leaving = b.needs.namedLimit, b.needs.askedRest, b.needs.saysLeaving
+	b.LoseResponse, b.CorruptStatus = b.losesResponse, corruptStatus
+	b.Limit, b.BackOff, b.Leaving = b.signals.announcedLimit, b.signals.requestedRest, b.signals.announcesLeaving
 	b.server = &http.Server{Handler: b.Target, ReadHeaderTimeout: time.Minute}
 	t.mu.Lock()
 	t.list = append(t.list, b)
@@ -81,23 +81,25 @@
 	return nil
 }
 
-// losing tells of one run in fifty that its answer is lost.
-func (b *backend) losing(id string) bool { return digest(id)%50 == 0 }
+// losesResponse reports whether the response of a request is lost, which is so for one
+// request in fifty.
+func (b *testTarget) losesResponse(id string) bool { return hashID(id)%50 == 0 }
 
-// spoilt are the statuses of answers that no target vouches for.
-var spoilt = []int{301, 400, 404, 413, 431}
+// corruptStatuses are the statuses of corrupt responses, which lack the target's headers.
+var corruptStatuses = []int{301, 400, 404, 413, 431}
 
-// spoiling has an answer that no target vouches for stand in the place of one in a hundred.
-func spoiling(id string) int {
-	sum := digest(id)
-	if sum%50 != 1 { // never so for the half of the digests below zero
+// corruptStatus returns the status of the corrupt response to a request, or 0 for a proper
+// response. One response in a hundred is corrupt.
+func corruptStatus(id string) int {
+	sum := hashID(id)
+	if sum%50 != 1 { // never true for the half of the hashes that are negative
 		return 0
 	}
-	return spoilt[sum/50%len(spoilt)]
+	return corruptStatuses[sum/50%len(corruptStatuses)]
 }
 
-// digest tells requests apart by their IDs, the same way in each run of a seed.
-func digest(id string) int {
+// hashID returns a hash of a request ID, which is the same in every run of a seed.
+func hashID(id string) int {
 	sum := 0
 	for _, c := range id {
 		sum = sum*31 + int(c)
@@ -105,23 +107,23 @@
 	return sum
 }
 
-func (t *targets) register(b *backend, state string) {
-	t.store.Put("servers", b.ID, b.Entry(b.service, b.wire.Addr(), b.zone, state))
+func (t *targetSet) register(b *testTarget, state string) {
+	t.store.Put("servers", b.ID, b.Entry(b.service, b.proxy.Addr(), b.zone, state))
 }
 
 // live returns the targets that are not gone.
-func (t *targets) live() []*backend {
-	return slices.DeleteFunc(t.all(), func(b *backend) bool { return b.gone })
+func (t *targetSet) live() []*testTarget {
+	return slices.DeleteFunc(t.all(), func(b *testTarget) bool { return b.gone })
 }
 
-func (t *targets) all() []*backend {
+func (t *targetSet) all() []*testTarget {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Clone(t.list)
 }
 
-// replace has a target drain and leave; another one takes its place first.
-func (t *targets) replace(b *backend) error {
+// replace starts a replacement for a target, then drains and removes the target.
+func (t *targetSet) replace(b *testTarget) error {
 	if err := t.add(b.service); err != nil {
 		return err
 	}
@@ -135,8 +137,8 @@
 	return nil
 }
 
-// crash ends a target without a word; its entry lapses later.
-func (t *targets) crash(b *backend) error {
+// crash closes a target without notice and removes its entry later, as if it had expired.
+func (t *targetSet) crash(b *testTarget) error {
 	if err := t.add(b.service); err != nil {
 		return err
 	}
@@ -146,13 +148,13 @@
 	return nil
 }
 
-// startAgain ends a run of a target without a word; the next begins under its name, at
-// another address, and a last write of the former run arrives after that.
-func (t *targets) startAgain(b *backend) error {
+// restart closes a target without notice and starts a new run with the same ID at another
+// address. A last write of the previous run reaches the store after that of the new one.
+func (t *targetSet) restart(b *testTarget) error {
 	b.gone = true
 	_ = b.server.Close()
-	time.Sleep(2 * time.Millisecond) // the next run's start is another millisecond
-	if err := t.begin(b.ID, b.service, b.zone); err != nil {
+	time.Sleep(2 * time.Millisecond) // the next run must start in another millisecond
+	if err := t.startRun(b.ID, b.service, b.zone); err != nil {
 		return err
 	}
 	t.register(b, "draining")
@@ -160,8 +162,8 @@
 	return nil
 }
 
-// renew has the present run of a target write its entry once more, as all do now and then.
-func (t *targets) renew(id string) {
+// renew rewrites the entry of the current run of a target, as targets do periodically.
+func (t *targetSet) renew(id string) {
 	for _, b := range t.live() {
 		if b.ID == id && b.drainAt.IsZero() {
 			t.register(b, "ready")
@@ -169,9 +171,9 @@
 	}
 }
 
-// scribble puts an entry that no target wrote: in the place of one that is there, until
-// that renews it, or beside the others.
-func (t *targets) scribble(b *backend, text string, over bool) {
+// writeForeignEntry writes an entry that no target wrote, either over the entry of a target
+// until that renews it, or under an ID of its own.
+func (t *targetSet) writeForeignEntry(b *testTarget, text string, over bool) {
 	if !over {
 		t.store.Put("servers", "scribble", []byte(text))
 		return
@@ -180,9 +182,9 @@
 	time.AfterFunc(500*time.Millisecond, func() { t.renew(b.ID) })
 }
 
-func (t *targets) close() {
+func (t *targetSet) close() {
 	for _, b := range t.all() {
 		_ = b.server.Close()
-		b.wire.Close()
+		b.proxy.Close()
 	}
 }
