--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -82,8 +82,8 @@
 	key := servedRoute{process: r.process, run: r.run, route: r.route.name}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.served[key]; !ok {
-		s.served[key] = r.end
+	if _, ok := s.servedAt[key]; !ok {
+		s.servedAt[key] = r.end
 	}
 }
 
@@ -95,7 +95,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	since, ok := s.served[servedRoute{process: r.process, run: r.run, route: r.route.name}]
+	since, ok := s.servedAt[servedRoute{process: r.process, run: r.run, route: r.route.name}]
 	return ok && since.Before(r.at)
 }
 
--- a/internal/soak/disturb.go
+++ b/internal/soak/disturb.go
@@ -93,7 +93,7 @@
 
 // recordDisturbance records a disturbance of a process other than a planned stop.
 func (s *Soak) recordDisturbance(p *process) {
-	p.recordDisturbance()
+	p.markDisturbed()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.disturbedAt[p] = append(s.disturbedAt[p], time.Now())
@@ -198,12 +198,12 @@
 
 // disturbProxy injects a fault into a proxy of a process and heals it after a random
 // duration.
-func (s *Soak) disturbProxy(p *process, w *FaultProxy, rng *rand.Rand, disturb func()) string {
+func (s *Soak) disturbProxy(p *process, proxy *FaultProxy, rng *rand.Rand, disturb func()) string {
 	d := randomDuration(rng)
 	s.recordDisturbance(p)
 	disturb()
 	time.AfterFunc(d, func() {
-		w.Heal()
+		proxy.Heal()
 		s.recordDisturbance(p)
 	})
 	return p.name + " for " + d.String()
--- a/internal/soak/faultproxy.go
+++ b/internal/soak/faultproxy.go
@@ -28,54 +28,54 @@
 }
 
 // NewFaultProxy starts a proxy that forwards to an address.
-func NewFaultProxy(to string) (*FaultProxy, error) {
+func NewFaultProxy(upstream string) (*FaultProxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &FaultProxy{listener: l, upstream: to, conns: make(map[net.Conn]struct{}), healed: make(chan struct{})}
-	go w.run()
-	return w, nil
+	p := &FaultProxy{listener: l, upstream: upstream, conns: make(map[net.Conn]struct{}), healed: make(chan struct{})}
+	go p.run()
+	return p, nil
 }
 
 // Addr returns the address that the proxy listens on.
-func (w *FaultProxy) Addr() string { return w.listener.Addr().String() }
+func (p *FaultProxy) Addr() string { return p.listener.Addr().String() }
 
 // Close closes the listener and all connections.
-func (w *FaultProxy) Close() {
-	_ = w.listener.Close()
-	w.Heal()
-	w.Reset()
+func (p *FaultProxy) Close() {
+	_ = p.listener.Close()
+	p.Heal()
+	p.Reset()
 }
 
 // Blackhole holds back all data, also on open connections, until Heal.
-func (w *FaultProxy) Blackhole() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.blackholed = true
+func (p *FaultProxy) Blackhole() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.blackholed = true
 }
 
 // Delay delays all data by d until Heal.
-func (w *FaultProxy) Delay(d time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.delay = d
+func (p *FaultProxy) Delay(d time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.delay = d
 }
 
 // Heal ends all faults. Data held back is forwarded.
-func (w *FaultProxy) Heal() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.blackholed, w.delay = false, 0
-	close(w.healed)
-	w.healed = make(chan struct{})
+func (p *FaultProxy) Heal() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.blackholed, p.delay = false, 0
+	close(p.healed)
+	p.healed = make(chan struct{})
 }
 
 // Reset resets all open connections.
-func (w *FaultProxy) Reset() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for c := range w.conns {
+func (p *FaultProxy) Reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
@@ -83,41 +83,41 @@
 	}
 }
 
-func (w *FaultProxy) run() {
+func (p *FaultProxy) run() {
 	for {
-		in, err := w.listener.Accept()
+		in, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go w.serve(in)
+		go p.serve(in)
 	}
 }
 
-func (w *FaultProxy) serve(in net.Conn) {
-	w.add(in)
-	defer w.drop(in)
-	w.waitWhileFaulty()
-	out, err := net.DialTimeout("tcp", w.upstream, time.Second)
+func (p *FaultProxy) serve(in net.Conn) {
+	p.add(in)
+	defer p.drop(in)
+	p.waitWhileFaulty()
+	out, err := net.DialTimeout("tcp", p.upstream, time.Second)
 	if err != nil {
 		if tcp, ok := in.(*net.TCPConn); ok {
 			_ = tcp.SetLinger(0)
 		}
 		return
 	}
-	w.add(out)
-	defer w.drop(out)
+	p.add(out)
+	defer p.drop(out)
 	done := make(chan struct{}, 2)
-	go w.pass(in, out, done)
-	go w.pass(out, in, done)
+	go p.pass(in, out, done)
+	go p.pass(out, in, done)
 	<-done
 }
 
-func (w *FaultProxy) pass(from, to net.Conn, done chan<- struct{}) {
+func (p *FaultProxy) pass(from, to net.Conn, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		w.waitWhileFaulty()
+		p.waitWhileFaulty()
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
 				return
@@ -134,12 +134,12 @@
 }
 
 // waitWhileFaulty blocks while the proxy is blackholed, then for the delay.
-func (w *FaultProxy) waitWhileFaulty() {
+func (p *FaultProxy) waitWhileFaulty() {
 	for {
-		w.mu.Lock()
-		silent, delay, healed := w.blackholed, w.delay, w.healed
-		w.mu.Unlock()
-		if !silent {
+		p.mu.Lock()
+		blackholed, delay, healed := p.blackholed, p.delay, p.healed
+		p.mu.Unlock()
+		if !blackholed {
 			time.Sleep(delay)
 			return
 		}
@@ -147,15 +147,15 @@
 	}
 }
 
-func (w *FaultProxy) add(c net.Conn) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.conns[c] = struct{}{}
+func (p *FaultProxy) add(c net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns[c] = struct{}{}
 }
 
-func (w *FaultProxy) drop(c net.Conn) {
-	w.mu.Lock()
-	delete(w.conns, c)
-	w.mu.Unlock()
+func (p *FaultProxy) drop(c net.Conn) {
+	p.mu.Lock()
+	delete(p.conns, c)
+	p.mu.Unlock()
 	_ = c.Close()
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// recordDisturbance records that the process, or one of its proxies, is disturbed now.
-func (p *process) recordDisturbance() {
+// markDisturbed records that the process, or one of its proxies, is disturbed now.
+func (p *process) markDisturbed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.disturbed = time.Now()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -62,8 +62,8 @@
 	evacuations []evacuation
 	// added are the permanent routes that configurations have added so far.
 	added []route
-	// served is when a run of a host first served a route.
-	served map[servedRoute]time.Time
+	// servedAt is when a run of a host first served a route.
+	servedAt map[servedRoute]time.Time
 }
 
 // Result is the outcome of a run. Findings are the violated guarantees, Actions the
@@ -87,7 +87,7 @@
 		start:       time.Now(),
 		store:       standin.NewStore(),
 		disturbedAt: make(map[*process][]time.Time),
-		served:      make(map[servedRoute]time.Time),
+		servedAt:    make(map[servedRoute]time.Time),
 	}
 	s.targets = &targetSet{store: s.store, zones: s.seed >= firstSeedOfAll}
 	if err := s.setUp(); err != nil {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -64,7 +64,7 @@
 		{"served", 200, old, long, true, false},
 	} {
 		p := &process{}
-		s := &Soak{served: make(map[servedRoute]time.Time), disturbedAt: map[*process][]time.Time{p: {c.disturbed}}}
+		s := &Soak{servedAt: make(map[servedRoute]time.Time), disturbedAt: map[*process][]time.Time{p: {c.disturbed}}}
 		if c.served {
 			s.recordServed(&request{process: p, route: c.route, end: now.Add(-500 * time.Millisecond)})
 		}
@@ -72,7 +72,7 @@
 		assert.Equal(t, s.wronglyRejected(r), c.want, c.name)
 	}
 	p := &process{}
-	s := &Soak{served: make(map[servedRoute]time.Time), storeDisturbedAt: []time.Time{justNow}}
+	s := &Soak{servedAt: make(map[servedRoute]time.Time), storeDisturbedAt: []time.Time{justNow}}
 	assert.Check(t, !s.wronglyRejected(&request{process: p, route: old, status: 404, at: now, end: now}), "an old route while the store is disturbed")
 }
 
