--- a/entry/routes.go
+++ b/entry/routes.go
@@ -23,13 +23,13 @@
 
 // RouteFinder is a Finder that uses the routing table on the board.
 type RouteFinder struct {
-	board *blackboard.Board
+	board     *blackboard.Board
 	workspace *declare.Workspace
 	confirmer Confirmer
 
 	mu sync.Mutex
 	// table is the routing table that services was built from.
-	table *routing.Table
+	table    *routing.Table
 	services map[routing.Match]*declare.Service
 	// stats is keyed by route name and survives configuration changes.
 	stats map[string]*routeStats
@@ -38,7 +38,7 @@
 // routeStats holds what has been observed of the requests of one route.
 type routeStats struct {
 	patience waittime.Estimator
-	sizes sizes.Estimator
+	sizes    sizes.Estimator
 }
 
 var _ Finder = (*RouteFinder)(nil)
@@ -103,15 +103,15 @@
 	}
 	service, stats := f.service(table, m.Match)
 	out := Match{
-		Workspace: f.workspace,
-		Service: service,
+		Workspace:     f.workspace,
+		Service:       service,
 		WaitEstimator: &stats.patience,
 		ResponseSizes: &stats.sizes,
-		Idempotency: idempotency,
-		Route: m.Route.Name,
-		Objective: m.Route.Objective,
-		Priority: m.Route.Priority,
-		Regions: m.Route.Regions,
+		Idempotency:   idempotency,
+		Route:         m.Route.Name,
+		Objective:     m.Route.Objective,
+		Priority:      m.Route.Priority,
+		Regions:       m.Route.Regions,
 
 		ConfigVersion: table.Config.Version,
 	}
@@ -207,13 +207,13 @@
 	s := f.services[m]
 	if s == nil {
 		s = &declare.Service{
-			Name: m.Service.Name,
-			MaxConns: m.Service.MaxConns,
-			Timeout: m.Route.Timeout,
-			MaxAttempts: m.Route.MaxAttempts,
+			Name:          m.Service.Name,
+			MaxConns:      m.Service.MaxConns,
+			Timeout:       m.Route.Timeout,
+			MaxAttempts:   m.Route.MaxAttempts,
 			MaxReplayBody: maxReplayBody,
-			MaxBody: table.Config.Limits.MaxBodyBytes,
-			HealthPath: m.Service.HealthPath,
+			MaxBody:       table.Config.Limits.MaxBodyBytes,
+			HealthPath:    m.Service.HealthPath,
 		}
 		f.services[m] = s
 	}
--- /dev/null
+++ b/internal/soak/faultproxy.go
@@ -0,0 +1,161 @@
+// Package soak tests entry hosts under random faults. It runs real daemons as separate
+// processes, with a simulated store and simulated targets, and injects faults from
+// outside: it delays, resets and blackholes their TCP connections through a FaultProxy,
+// pauses, kills, stops and restarts processes, and makes the store and the targets
+// misbehave. Meanwhile callers send requests, and the responses and the executions at the
+// targets are checked against the guarantees of the load balancer. The seed determines
+// the sequence of faults.
+package soak
+
+import (
+	"io"
+	"net"
+	"sync"
+	"time"
+)
+
+// FaultProxy forwards TCP connections and can inject faults into them.
+type FaultProxy struct {
+	listener net.Listener
+	upstream string
+
+	mu    sync.Mutex
+	conns map[net.Conn]struct{}
+	// blackholed holds back all data, delay each chunk for a time.
+	blackholed bool
+	delay      time.Duration
+	healed     chan struct{}
+}
+
+// NewFaultProxy starts a proxy that forwards to an address.
+func NewFaultProxy(upstream string) (*FaultProxy, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, err
+	}
+	p := &FaultProxy{listener: l, upstream: upstream, conns: make(map[net.Conn]struct{}), healed: make(chan struct{})}
+	go p.run()
+	return p, nil
+}
+
+// Addr returns the address that the proxy listens on.
+func (p *FaultProxy) Addr() string { return p.listener.Addr().String() }
+
+// Close closes the listener and all connections.
+func (p *FaultProxy) Close() {
+	_ = p.listener.Close()
+	p.Heal()
+	p.Reset()
+}
+
+// Blackhole holds back all data, also on open connections, until Heal.
+func (p *FaultProxy) Blackhole() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.blackholed = true
+}
+
+// Delay delays all data by d until Heal.
+func (p *FaultProxy) Delay(d time.Duration) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.delay = d
+}
+
+// Heal ends all faults. Data held back is forwarded.
+func (p *FaultProxy) Heal() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.blackholed, p.delay = false, 0
+	close(p.healed)
+	p.healed = make(chan struct{})
+}
+
+// Reset resets all open connections.
+func (p *FaultProxy) Reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for c := range p.conns {
+		if tcp, ok := c.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0)
+		}
+		_ = c.Close()
+	}
+}
+
+func (p *FaultProxy) run() {
+	for {
+		in, err := p.listener.Accept()
+		if err != nil {
+			return
+		}
+		go p.serve(in)
+	}
+}
+
+func (p *FaultProxy) serve(in net.Conn) {
+	p.add(in)
+	defer p.drop(in)
+	p.waitWhileFaulty()
+	out, err := net.DialTimeout("tcp", p.upstream, time.Second)
+	if err != nil {
+		if tcp, ok := in.(*net.TCPConn); ok {
+			_ = tcp.SetLinger(0)
+		}
+		return
+	}
+	p.add(out)
+	defer p.drop(out)
+	done := make(chan struct{}, 2)
+	go p.pass(in, out, done)
+	go p.pass(out, in, done)
+	<-done
+}
+
+func (p *FaultProxy) pass(from, to net.Conn, done chan<- struct{}) {
+	defer func() { done <- struct{}{} }()
+	buf := make([]byte, 32<<10)
+	for {
+		n, err := from.Read(buf)
+		p.waitWhileFaulty()
+		if n > 0 {
+			if _, werr := to.Write(buf[:n]); werr != nil {
+				return
+			}
+		}
+		if err == io.EOF {
+			_ = to.(*net.TCPConn).CloseWrite() // forward the half-close
+			return
+		}
+		if err != nil {
+			return
+		}
+	}
+}
+
+// waitWhileFaulty blocks while the proxy is blackholed, then for the delay.
+func (p *FaultProxy) waitWhileFaulty() {
+	for {
+		p.mu.Lock()
+		blackholed, delay, healed := p.blackholed, p.delay, p.healed
+		p.mu.Unlock()
+		if !blackholed {
+			time.Sleep(delay)
+			return
+		}
+		<-healed
+	}
+}
+
+func (p *FaultProxy) add(c net.Conn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.conns[c] = struct{}{}
+}
+
+func (p *FaultProxy) drop(c net.Conn) {
+	p.mu.Lock()
+	delete(p.conns, c)
+	p.mu.Unlock()
+	_ = c.Close()
+}
--- a/placer/probe.go
+++ b/placer/probe.go
@@ -161,11 +161,11 @@
 // sendProbe sends one probe and reads the response.
 func (p *Placer) sendProbe(ctx context.Context, info blackboard.Target, path string, conns int) (a probeResult) {
 	req := &http.Request{
-		Method: http.MethodGet,
-		URL: &url.URL{Path: path},
-		Host: info.Addr,
-		Header: http.Header{"User-Agent": nil},
-		Proto: "HTTP/1.1",
+		Method:     http.MethodGet,
+		URL:        &url.URL{Path: path},
+		Host:       info.Addr,
+		Header:     http.Header{"User-Agent": nil},
+		Proto:      "HTTP/1.1",
 		ProtoMajor: 1,
 		ProtoMinor: 1,
 	}
