--- a/backpressure/hosts_test.go
+++ b/backpressure/hosts_test.go
@@ -63,7 +63,7 @@
 	synctest.Test(t, func(*testing.T) {
 		fl := &fleet{net: peernet.New(), limit: limit, limited: targets, arrived: make(map[ports.HostID][]time.Time)}
 		fl.net.Delay = func(ports.HostID, ports.HostID) time.Duration { return time.Millisecond }
-		fl.net.Sent = func(_, _ ports.HostID, _ peer.Kind, _ int) {
+		fl.net.OnSend = func(_, _ ports.HostID, _ peer.Kind, _ int) {
 			fl.mu.Lock()
 			defer fl.mu.Unlock()
 			fl.messages++
@@ -279,8 +279,8 @@
 		fl.load(60, 6*time.Second)
 		alone := fl.hosts[0]
 		for _, h := range fl.hosts[1:] {
-			fl.net.Cut(alone.id, h.id)
-			fl.net.Cut(h.id, alone.id)
+			fl.net.Block(alone.id, h.id)
+			fl.net.Block(h.id, alone.id)
 		}
 		fl.begin()
 		for range 300 {
--- a/cmd/cactusdemo/demo.go
+++ b/cmd/cactusdemo/demo.go
@@ -21,7 +21,7 @@
 
 // demo runs the steps and remembers whether all went well.
 type demo struct {
-	lab      *lab.Lab
+	lab      *lab.Cluster
 	examples fs.FS
 	out      io.Writer
 	hosts    []string
--- a/controller/config/config_test.go
+++ b/controller/config/config_test.go
@@ -165,7 +165,7 @@
 	onFleet(t, 15, func(t *testing.T, f *confignet.Fleet) {
 		h := f.Hosts()
 		for _, to := range h[7:] {
-			f.Net.Cut(h[0].ID, to.ID)
+			f.Net.Block(h[0].ID, to.ID)
 		}
 		change(t, h[0], "c1", 0, 7, config.ResultApplied)
 		setFaults(f, true)
@@ -199,7 +199,7 @@
 		change(t, h[0], "c1", 0, 7, config.ResultApplied)
 		second := change(t, h[0], "c2", 1, 8, config.ResultApplied)
 		pass(10 * time.Millisecond) // the pushes are lost
-		f.Net.Heal()
+		f.Net.UnblockAll()
 		h[0].Controller.PushTo(h[1].ID, *second.Change)
 		pass(10 * time.Millisecond)
 		assertSequences(t, f, 2)
--- a/controller/membership/faults_test.go
+++ b/controller/membership/faults_test.go
@@ -96,14 +96,14 @@
 		h.gate.close()
 		time.Sleep(5 * time.Second)
 		for i := 1; i < 5; i++ {
-			c.net.Cut(hostID(0), hostID(i))
-			c.net.Cut(hostID(i), hostID(0))
+			c.net.Block(hostID(0), hostID(i))
+			c.net.Block(hostID(i), hostID(0))
 		}
 		time.Sleep(time.Second)
 		h.gate.open()
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, c.state(hostID(0), hostID(0)), blackboard.MemberSuspected)
-		c.net.Heal()
+		c.net.UnblockAll()
 		c.timeUntil(hostID(0), blackboard.MemberLive, spreadWithin)
 	})
 }
@@ -112,7 +112,7 @@
 // receiver asks through others and nobody is suspected, for as long as it lasts.
 func TestCutOneWayBetweenTwoHosts(t *testing.T) {
 	inCluster(t, 15, func(c *cluster) {
-		c.net.Cut(hostID(3), hostID(4))
+		c.net.Block(hostID(3), hostID(4))
 		for range 30 {
 			time.Sleep(500 * time.Millisecond)
 			c.allSee(hostID(3), blackboard.MemberLive)
@@ -128,14 +128,14 @@
 	inCluster(t, 15, func(c *cluster) {
 		for i := range 3 {
 			for j := 3; j < 15; j++ {
-				c.net.Cut(hostID(i), hostID(j))
-				c.net.Cut(hostID(j), hostID(i))
+				c.net.Block(hostID(i), hostID(j))
+				c.net.Block(hostID(j), hostID(i))
 			}
 		}
 		time.Sleep(20 * time.Second)
 		assert.Equal(t, c.state(hostID(0), hostID(9)), blackboard.MemberSuspected)
 		assert.Equal(t, c.state(hostID(9), hostID(0)), blackboard.MemberSuspected)
-		c.net.Heal()
+		c.net.UnblockAll()
 		for range 60 {
 			time.Sleep(50 * time.Millisecond)
 			for at := 3; at < 15; at++ {
@@ -264,14 +264,14 @@
 		inCluster(t, 50, func(c *cluster) {
 			for i := range first {
 				for j := first; j < 50; j++ {
-					c.net.Cut(hostID(i), hostID(j))
-					c.net.Cut(hostID(j), hostID(i))
+					c.net.Block(hostID(i), hostID(j))
+					c.net.Block(hostID(j), hostID(i))
 				}
 			}
 			time.Sleep(20 * time.Second)
 			assert.Equal(t, c.state(hostID(0), hostID(40)), blackboard.MemberSuspected)
 			assert.Equal(t, c.state(hostID(40), hostID(0)), blackboard.MemberSuspected)
-			c.net.Heal()
+			c.net.UnblockAll()
 			var took time.Duration
 			for _, id := range c.ids() {
 				took += c.timeUntil(id, blackboard.MemberLive, convergeWithin-took)
--- a/controller/membership/random_test.go
+++ b/controller/membership/random_test.go
@@ -98,9 +98,9 @@
 	h := r.hosts[id]
 	switch {
 	case o.kind == opHeal:
-		r.net.Heal()
+		r.net.UnblockAll()
 	case o.kind == opCut:
-		r.net.Cut(id, other)
+		r.net.Block(id, other)
 	case o.kind == opRestart:
 		r.restart(id)
 	case h == nil:
@@ -173,7 +173,7 @@
 // finish ends all faults and demands that the views agree with what is so, and
 // stay that way.
 func (r *randomRun) finish() {
-	r.net.Heal()
+	r.net.UnblockAll()
 	for _, h := range r.hosts {
 		h.gate.open()
 		h.list.fail(nil)
--- a/controller/quota/fleet_test.go
+++ b/controller/quota/fleet_test.go
@@ -147,8 +147,8 @@
 	for _, h := range hosts {
 		for _, other := range fl.hosts {
 			if !slices.Contains(hosts, other) {
-				fl.net.Cut(h.id, other.id)
-				fl.net.Cut(other.id, h.id)
+				fl.net.Block(h.id, other.id)
+				fl.net.Block(other.id, h.id)
 			}
 		}
 		fl.mu.Lock()
@@ -159,7 +159,7 @@
 
 // heal ends all cuts.
 func (fl *fleet) heal() {
-	fl.net.Heal()
+	fl.net.UnblockAll()
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	for _, h := range fl.hosts {
@@ -280,8 +280,8 @@
 	for _, a := range fl.hosts {
 		for _, b := range fl.hosts {
 			if a.zone == zone && b.zone != zone {
-				fl.net.Cut(a.id, b.id)
-				fl.net.Cut(b.id, a.id)
+				fl.net.Block(a.id, b.id)
+				fl.net.Block(b.id, a.id)
 			}
 		}
 	}
--- a/controller/targets/targets_test.go
+++ b/controller/targets/targets_test.go
@@ -207,7 +207,7 @@
 		left := -1
 		withHosts(t, 12, func(net *peernet.Network, hosts []*testHost) {
 			for _, c := range cuts {
-				net.Cut(hosts[c[0]].c.opts.Link.Self(), hosts[c[1]].c.opts.Link.Self())
+				net.Block(hosts[c[0]].c.opts.Link.Self(), hosts[c[1]].c.opts.Link.Self())
 			}
 			hosts[0].mark(1)
 			time.Sleep(tellWithin)
--- a/controller/watch/config_test.go
+++ b/controller/watch/config_test.go
@@ -41,7 +41,7 @@
 			configWithRoutes(6, 2*time.Second, "x", ""),
 			configWithRoutes(9, 2*time.Second, "r", "x", "x"),
 		} {
-			fl.record.Configure(c)
+			fl.record.PutConfig(c)
 			took := fl.await(nil, func(h *host) bool { return h.usesConfig(c) })
 			assert.Check(t, took < 200*time.Millisecond, "step %d: in force after %s", i, took)
 		}
@@ -66,13 +66,13 @@
 		divergent.c.mu.Lock()
 		divergent.c.merge(time.Now(), directory.Changes{Config: other}, ports.HostID("other"))
 		divergent.c.mu.Unlock()
-		fl.record.Configure(configWithRoutes(2, time.Second, "kept"))
+		fl.record.PutConfig(configWithRoutes(2, time.Second, "kept"))
 		took := fl.await(nil, func(h *host) bool { return h.version() == 2 })
 		assert.Check(t, took < bound, "%s", took)
 		time.Sleep(time.Second)
 		assert.Check(t, divergent.usesConfig(other), "heartbeats with equal versions are not compared further")
 		next := configWithRoutes(3, time.Second, "kept", "more")
-		fl.record.Configure(next)
+		fl.record.PutConfig(next)
 		took = fl.await(nil, func(h *host) bool { return h.usesConfig(next) })
 		assert.Check(t, took < bound/2, "in force after %s", took)
 		assert.Check(t, divergent.c.count.refusedConfigs.Value() > 0)
--- a/controller/watch/confirm_test.go
+++ b/controller/watch/confirm_test.go
@@ -37,7 +37,7 @@
 // must not confirm it either, until one carries the current configuration.
 func TestOnlyTheConfigurationAtHandIsConfirmed(t *testing.T) {
 	withFleet(t, 3, func(fl *fleet) {
-		fl.record.Configure(config(5))
+		fl.record.PutConfig(config(5))
 		time.Sleep(time.Second)
 		c := fl.hosts[0].c
 		c.mu.Lock()
--- a/controller/watch/denial_test.go
+++ b/controller/watch/denial_test.go
@@ -77,7 +77,7 @@
 func TestHostOnAFullLinkDeniesNothingThatWasAdded(t *testing.T) {
 	var slow atomic.Pointer[host]
 	setUp := func(fl *fleet) {
-		fl.net.Rate = func(id ports.HostID) float64 {
+		fl.net.Bandwidth = func(id ports.HostID) float64 {
 			if h := slow.Load(); h != nil && h.addr == string(id) {
 				return congestedLink
 			}
@@ -87,9 +87,9 @@
 	withNetwork(t, 14, setUp, func(fl *fleet) {
 		h := fl.nonWatcher()
 		slow.Store(h)
-		h.client.Set(record.Silent)
+		h.client.SetMode(record.Unresponsive)
 		time.Sleep(time.Second)
-		fl.record.Configure(config(2))
+		fl.record.PutConfig(config(2))
 		assert.Check(t, h.denials(2) == 0)
 		assert.Check(t, h.version() == 1, "the host is no longer behind, so the test proves nothing")
 		slow.Store(nil)
@@ -102,7 +102,7 @@
 func TestHostThatHeardOfANewerVersionDeniesNothing(t *testing.T) {
 	var behind atomic.Pointer[host]
 	setUp := func(fl *fleet) {
-		fl.net.Lost = func(from, to peer.HostID, kind peer.Kind) bool {
+		fl.net.Drop = func(from, to peer.HostID, kind peer.Kind) bool {
 			h := behind.Load()
 			return h != nil && kind != kindHeartbeat && (h.addr == string(to) || h.addr == string(from))
 		}
@@ -110,7 +110,7 @@
 	withNetwork(t, 14, setUp, func(fl *fleet) {
 		h := fl.nonWatcher()
 		behind.Store(h)
-		fl.record.Configure(config(2))
+		fl.record.PutConfig(config(2))
 		time.Sleep(300 * time.Millisecond)
 		assert.Check(t, !h.denies(addedPrefix(2)), "denied although a heartbeat named a newer version")
 		assert.Check(t, h.denials(2) == 0)
@@ -123,7 +123,7 @@
 	withFleet(t, 14, func(fl *fleet) {
 		cut := fl.hosts[4]
 		fl.isolate(cut)
-		fl.record.Configure(config(2))
+		fl.record.PutConfig(config(2))
 		assert.Check(t, cut.denials(2) == 0)
 	})
 }
@@ -189,11 +189,11 @@
 // follows, unknown paths are denied again.
 func TestUnreadableConfigurationStopsDenials(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
-		fl.record.ConfigureUnread()
+		fl.record.PutUnreadableConfig()
 		for _, h := range fl.hosts {
 			assert.Check(t, h.denials(2) == 0, "%s", h.addr)
 		}
-		fl.record.Configure(config(3))
+		fl.record.PutConfig(config(3))
 		took := fl.await(nil, func(h *host) bool { return h.denies("/never/") })
 		assert.Check(t, took < bound, "denied again after %s", took)
 	})
@@ -214,10 +214,10 @@
 	}
 	withNetwork(t, 14, setUp, func(fl *fleet) {
 		h := fl.nonWatcher()
-		h.client.Set(record.Silent)
+		h.client.SetMode(record.Unresponsive)
 		slow.Store(h)
 		time.Sleep(70 * time.Second)
-		fl.record.Configure(config(2))
+		fl.record.PutConfig(config(2))
 		time.Sleep(bound)
 		denied := 0
 		for end := time.Now().Add(wait - bound); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -236,10 +236,10 @@
 	for _, lag := range []time.Duration{500 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
 		denied := 0
 		withFleet(t, 14, func(fl *fleet) {
-			fl.record.SetLag(lag)
+			fl.record.SetReplyDelay(lag)
 			time.Sleep(20 * time.Second)
 			for v := uint64(2); v < 12; v++ {
-				fl.record.Configure(config(v))
+				fl.record.PutConfig(config(v))
 				time.Sleep(bound)
 				for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 					for _, h := range fl.hosts {
--- a/controller/watch/evacuation_test.go
+++ b/controller/watch/evacuation_test.go
@@ -80,10 +80,10 @@
 			fl.record.Evacuate("z2")
 			fl.checkEvacuation(nil, "z2", true)
 			fl.record.Evacuate("nowhere")
-			fl.record.TakeBack("z1")
+			fl.record.EndEvacuation("z1")
 			fl.checkEvacuation(nil, "z1", false)
 			fl.checkEvacuation(nil, "z2", true)
-			fl.record.TakeBack("z2")
+			fl.record.EndEvacuation("z2")
 			fl.checkEvacuation(nil, "z2", false)
 		})
 	}
@@ -95,13 +95,13 @@
 	withFleet(t, 14, func(fl *fleet) {
 		fl.listInZones()
 		behind := fl.nonWatcher()
-		for _, change := range []func(string){fl.record.Evacuate, fl.record.TakeBack} {
+		for _, change := range []func(string){fl.record.Evacuate, fl.record.EndEvacuation} {
 			for _, h := range fl.watching() {
-				fl.net.Cut(ports.HostID(h.addr), ports.HostID(behind.addr))
+				fl.net.Block(ports.HostID(h.addr), ports.HostID(behind.addr))
 			}
 			change("z1")
 			time.Sleep(120 * time.Millisecond)
-			fl.net.Heal()
+			fl.net.UnblockAll()
 			for i := range 20 {
 				fl.record.Put(entryOf(20+i, false))
 				time.Sleep(50 * time.Millisecond)
@@ -126,13 +126,13 @@
 			for i := range 14 {
 				h := fl.start(i, true)
 				if out {
-					h.client.Set(record.Refuses)
+					h.client.SetMode(record.Refusing)
 				}
 			}
 			for i := range 3000 {
 				if i == 1500 {
 					for _, h := range fl.hosts {
-						h.client.Set(record.Serves)
+						h.client.SetMode(record.Serving)
 					}
 				}
 				for _, h := range fl.hosts {
@@ -152,12 +152,12 @@
 func TestEvacuationIsKnownAfterTheHistoryIsGone(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		fl.listInZones()
-		for _, change := range []func(string){fl.record.Evacuate, fl.record.TakeBack} {
-			fl.record.Mute(true)
+		for _, change := range []func(string){fl.record.Evacuate, fl.record.EndEvacuation} {
+			fl.record.HoldWatches(true)
 			change("z1")
 			time.Sleep(100 * time.Millisecond)
 			fl.record.DropHistory()
-			fl.record.Mute(false)
+			fl.record.HoldWatches(false)
 			fl.checkEvacuation(nil, "z1", fl.record.Evacuated("z1"))
 		}
 	})
@@ -171,9 +171,9 @@
 		fl.record.Evacuate("z1")
 		fl.checkEvacuation(nil, "z1", true)
 		for _, h := range fl.hosts {
-			h.client.Set(record.Refuses)
+			h.client.SetMode(record.Refusing)
 		}
-		fl.record.TakeBack("z1")
+		fl.record.EndEvacuation("z1")
 		for range 80 {
 			time.Sleep(100 * time.Millisecond)
 			for _, h := range fl.hosts {
@@ -181,7 +181,7 @@
 			}
 		}
 		for _, h := range fl.hosts {
-			h.client.Set(record.Serves)
+			h.client.SetMode(record.Serving)
 		}
 		_, all := fl.timeUntil(nil, func(h *host) bool { return !h.evacuates("z1") })
 		assert.Check(t, all < 2*time.Second, "known %s after the store's return", all)
@@ -197,10 +197,10 @@
 		fl.checkEvacuation(nil, "z1", true)
 		cut := fl.nonWatcher()
 		fl.isolate(cut)
-		fl.record.TakeBack("z1")
+		fl.record.EndEvacuation("z1")
 		fl.checkEvacuation([]*host{cut}, "z1", false)
-		fl.net.Heal()
-		cut.client.Set(record.Serves)
+		fl.net.UnblockAll()
+		cut.client.SetMode(record.Serving)
 		others := slices.DeleteFunc(slices.Clone(fl.hosts), func(h *host) bool { return h == cut })
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
--- a/controller/watch/fleet_test.go
+++ b/controller/watch/fleet_test.go
@@ -25,7 +25,7 @@
 type fleet struct {
 	t      *testing.T
 	net    *peernet.Network
-	record *record.Record
+	record *record.Store
 	hosts  []*host
 	seeds  []string
 	// messages counts the messages between hosts, including replies.
@@ -58,7 +58,7 @@
 			fl.messages.Add(1)
 			return time.Millisecond
 		}
-		fl.record.Configure(config(1))
+		fl.record.PutConfig(config(1))
 		setUp(fl)
 		for i := range 10 {
 			fl.record.Put(entryOf(i, false))
@@ -186,10 +186,10 @@
 
 // isolate cuts a host off from all others and from the store, as if its process were stopped.
 func (fl *fleet) isolate(h *host) {
-	h.client.Set(record.Silent)
+	h.client.SetMode(record.Unresponsive)
 	for _, other := range fl.hosts {
-		fl.net.Cut(ports.HostID(h.addr), ports.HostID(other.addr))
-		fl.net.Cut(ports.HostID(other.addr), ports.HostID(h.addr))
+		fl.net.Block(ports.HostID(h.addr), ports.HostID(other.addr))
+		fl.net.Block(ports.HostID(other.addr), ports.HostID(h.addr))
 	}
 }
 
@@ -225,10 +225,10 @@
 func (fl *fleet) loseChange(i int) (behind *host) {
 	behind = fl.nonWatcher()
 	for _, h := range fl.watching() {
-		fl.net.Cut(ports.HostID(h.addr), ports.HostID(behind.addr))
+		fl.net.Block(ports.HostID(h.addr), ports.HostID(behind.addr))
 	}
 	fl.record.Put(entryOf(i, true))
 	time.Sleep(120 * time.Millisecond)
-	fl.net.Heal()
+	fl.net.UnblockAll()
 	return behind
 }
--- a/controller/watch/hosts_test.go
+++ b/controller/watch/hosts_test.go
@@ -47,8 +47,8 @@
 		for _, h := range fl.hosts {
 			assert.Equal(t, h.lists(cut.addr), h == cut, "%s", h.addr)
 		}
-		fl.net.Heal()
-		cut.client.Set(record.Serves)
+		fl.net.UnblockAll()
+		cut.client.SetMode(record.Serving)
 		fl.start(4, true)
 		for range 20 {
 			time.Sleep(3 * time.Second)
@@ -67,13 +67,13 @@
 		few := fl.hosts[:2]
 		for _, a := range few {
 			for _, b := range fl.hosts[2:] {
-				fl.net.Cut(ports.HostID(a.addr), ports.HostID(b.addr))
-				fl.net.Cut(ports.HostID(b.addr), ports.HostID(a.addr))
+				fl.net.Block(ports.HostID(a.addr), ports.HostID(b.addr))
+				fl.net.Block(ports.HostID(b.addr), ports.HostID(a.addr))
 			}
 		}
 		time.Sleep(3 * watchers.LeftOutAfter)
 		assert.Equal(t, len(few[0].board.Members.Load().Members), 14)
-		fl.net.Heal()
+		fl.net.UnblockAll()
 		time.Sleep(5 * time.Second)
 		for _, h := range fl.hosts {
 			assert.Equal(t, len(h.board.Members.Load().Members), 14, "%s", h.addr)
--- a/controller/watch/outage_test.go
+++ b/controller/watch/outage_test.go
@@ -17,10 +17,10 @@
 // that it is down, followed by occasional ones. After its return changes must be known soon.
 func TestOutageIsMetWithFewCalls(t *testing.T) {
 	for _, n := range []int{14, 121} {
-		for _, mode := range []record.Mode{record.Refuses, record.Silent} {
+		for _, mode := range []record.Mode{record.Refusing, record.Unresponsive} {
 			withFleet(t, n, func(fl *fleet) {
 				for _, h := range fl.hosts {
-					h.client.Set(mode)
+					h.client.SetMode(mode)
 				}
 				before := fl.record.Calls()
 				time.Sleep(8 * time.Second)
@@ -28,7 +28,7 @@
 				assert.Check(t, calls < 160, "%d calls of %d hosts in mode %d", calls, n, mode)
 				fl.record.Put(entryOf(3, true))
 				for _, h := range fl.hosts {
-					h.client.Set(record.Serves)
+					h.client.SetMode(record.Serving)
 				}
 				took := fl.await(nil, func(h *host) bool { return !h.routesTo(3) })
 				assert.Check(t, took < time.Second, "known %s after the return", took)
@@ -51,8 +51,8 @@
 				for _, h := range frozen {
 					fl.isolate(h)
 				}
-				fl.record.SetLag(lag)
-				fl.record.Configure(config(2))
+				fl.record.SetReplyDelay(lag)
+				fl.record.PutConfig(config(2))
 				took := fl.await(frozen, func(h *host) bool { return h.version() == 2 })
 				t.Logf("%d hosts, answers after %s: in force after %s", n, lag, took)
 				assert.Check(t, took < slowStoreBound, "%d hosts, answers after %s: in force after %s", n, lag, took)
@@ -77,7 +77,7 @@
 				}
 			}
 			for _, h := range away {
-				h.client.Set(record.Silent)
+				h.client.SetMode(record.Unresponsive)
 			}
 			time.Sleep(10 * time.Second)
 			fl.record.Put(entryOf(3, true))
@@ -97,7 +97,7 @@
 // Guards against concluding that the store was not down because it still answered about the
 // configuration.
 func TestTargetsThatLapsedWhileTheirTableAloneWasOutAreUsed(t *testing.T) {
-	checkExpiredTargets(t, func(h *host) { h.client.Spare(directory.TopicConfig) })
+	checkExpiredTargets(t, func(h *host) { h.client.ExemptTopic(directory.TopicConfig) })
 }
 
 // checkExpiredTargets runs an outage of the store in which entries expire, after a setup for
@@ -108,7 +108,7 @@
 			setUp(h)
 		}
 		for _, h := range fl.hosts {
-			h.client.Set(record.Refuses)
+			h.client.SetMode(record.Refusing)
 		}
 		time.Sleep(2 * time.Second)
 		for i := range 10 {
@@ -116,7 +116,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		for _, h := range fl.hosts {
-			h.client.Set(record.Serves)
+			h.client.SetMode(record.Serving)
 		}
 		back := time.Now()
 		for i := range 9 {
@@ -139,11 +139,11 @@
 func TestStartWithoutStore(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		for _, h := range fl.hosts {
-			h.client.Set(record.Refuses)
+			h.client.SetMode(record.Refusing)
 		}
 		time.Sleep(time.Second)
 		h := fl.start(20, true)
-		h.client.Set(record.Refuses)
+		h.client.SetMode(record.Refusing)
 		time.Sleep(time.Second)
 		assert.Equal(t, h.version(), uint64(1))
 		assert.Check(t, h.routesTo(0))
@@ -156,11 +156,11 @@
 	withFleet(t, 30, func(fl *fleet) {
 		for _, silent := range []time.Duration{400 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
 			for _, h := range fl.hosts {
-				h.client.Set(record.Silent)
+				h.client.SetMode(record.Unresponsive)
 			}
 			time.Sleep(silent)
 			for _, h := range fl.hosts {
-				h.client.Set(record.Serves)
+				h.client.SetMode(record.Serving)
 			}
 			fl.record.Put(entryOf(3, false))
 			fl.await(nil, func(h *host) bool { return h.routesTo(3) })
@@ -178,7 +178,7 @@
 func TestHostsThatStartInAnOutageDropNoTargets(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		for _, h := range fl.hosts {
-			h.client.Set(record.Refuses)
+			h.client.SetMode(record.Refusing)
 		}
 		time.Sleep(4 * time.Second)
 		fl.record.Remove(targetID(0))
@@ -189,11 +189,11 @@
 		fl.hosts = slices.Clone(old)
 		for i := range 7 {
 			h := fl.start(i, true)
-			h.client.Set(record.Refuses)
+			h.client.SetMode(record.Refusing)
 		}
 		time.Sleep(time.Second)
 		for _, h := range fl.hosts {
-			h.client.Set(record.Serves)
+			h.client.SetMode(record.Serving)
 		}
 		for begin := time.Now(); time.Since(begin) < 1800*time.Millisecond; time.Sleep(10 * time.Millisecond) {
 			for _, h := range old {
--- a/controller/watch/random_test.go
+++ b/controller/watch/random_test.go
@@ -74,7 +74,7 @@
 	case 0, 1:
 		h.version++
 		h.config = h.randomConfig(h.version)
-		h.record.Configure(h.config)
+		h.record.PutConfig(h.config)
 		h.acceptedAt[h.version] = time.Now()
 	case 2, 3:
 		h.record.Put(entryOf(h.nextTarget, false))
@@ -84,11 +84,11 @@
 	case 5:
 		h.record.Remove(targetID(h.rng.IntN(h.nextTarget)))
 	case 6:
-		h.anyHost().client.Set(record.Silent)
+		h.anyHost().client.SetMode(record.Unresponsive)
 	case 7:
-		h.anyHost().client.Set(record.Refuses)
+		h.anyHost().client.SetMode(record.Refusing)
 	case 8:
-		h.anyHost().client.Set(record.Serves)
+		h.anyHost().client.SetMode(record.Serving)
 	case 9:
 		h.isolate(h.anyHost())
 	case 10:
@@ -113,11 +113,11 @@
 	lost := h.evacuations.IntN(2) == 0
 	for _, w := range h.watching() {
 		if lost {
-			h.net.Cut(ports.HostID(w.addr), ports.HostID(to.addr))
+			h.net.Block(ports.HostID(w.addr), ports.HostID(to.addr))
 		}
 	}
 	if h.record.Evacuated(zone) {
-		h.record.TakeBack(zone)
+		h.record.EndEvacuation(zone)
 	} else {
 		h.record.Evacuate(zone)
 	}
@@ -126,7 +126,7 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	for _, w := range h.hosts {
-		h.net.Restore(ports.HostID(w.addr), ports.HostID(to.addr))
+		h.net.Unblock(ports.HostID(w.addr), ports.HostID(to.addr))
 	}
 }
 
@@ -165,12 +165,12 @@
 func (h *history) loseOneChange() {
 	to := h.anyHost()
 	for _, w := range h.watching() {
-		h.net.Cut(ports.HostID(w.addr), ports.HostID(to.addr))
+		h.net.Block(ports.HostID(w.addr), ports.HostID(to.addr))
 	}
 	h.put(h.rng.IntN(h.nextTarget), true)
 	time.Sleep(100 * time.Millisecond)
 	for _, w := range h.hosts {
-		h.net.Restore(ports.HostID(w.addr), ports.HostID(to.addr))
+		h.net.Unblock(ports.HostID(w.addr), ports.HostID(to.addr))
 	}
 	h.record.Put(entryOf(h.nextTarget, false))
 	h.nextTarget++
@@ -191,9 +191,9 @@
 }
 
 func (h *history) heal() {
-	h.net.Heal()
+	h.net.UnblockAll()
 	for _, host := range h.hosts {
-		host.client.Set(record.Serves)
+		host.client.SetMode(record.Serving)
 	}
 }
 
--- a/controller/watch/restore_test.go
+++ b/controller/watch/restore_test.go
@@ -14,13 +14,13 @@
 	for _, n := range []int{3, 60} {
 		withFleet(t, n, func(fl *fleet) {
 			fl.listInZones()
-			copied := fl.record.Copy()
+			copied := fl.record.Snapshot()
 			for range 20 {
 				fl.record.Put(entryOf(3, false))
 			}
 			fl.record.Evacuate("z1")
 			fl.record.Remove(targetID(2))
-			fl.record.Configure(config(50))
+			fl.record.PutConfig(config(50))
 			fl.checkEvacuation(nil, "z1", true)
 			fl.await(nil, func(h *host) bool { return h.version() == 50 && !h.routesTo(2) })
 
@@ -34,7 +34,7 @@
 			}
 			fl.record.Evacuate("z1")
 			fl.record.Remove(targetID(2))
-			fl.record.Configure(config(50))
+			fl.record.PutConfig(config(50))
 			fl.record.Put(entryOf(4, true))
 			drained := fl.await(nil, func(h *host) bool { return !h.routesTo(4) })
 			assert.Check(t, drained < 1500*time.Millisecond, "%s", drained)
@@ -43,13 +43,13 @@
 					assert.Assert(t, h.evacuates("z1") && !h.routesTo(2) && !h.routesTo(4))
 				}
 			}
-			fl.record.TakeBack("z1")
+			fl.record.EndEvacuation("z1")
 			fl.checkEvacuation(nil, "z1", false)
-			fl.record.Configure(config(51))
+			fl.record.PutConfig(config(51))
 			fl.await(nil, func(h *host) bool { return h.version() == 51 })
 
 			// An evacuation that nobody writes again must not stay in force forever.
-			copied = fl.record.Copy()
+			copied = fl.record.Snapshot()
 			fl.record.Evacuate("z2")
 			fl.checkEvacuation(nil, "z2", true)
 			fl.record.Restore(copied)
--- a/controller/watch/scale_test.go
+++ b/controller/watch/scale_test.go
@@ -78,9 +78,9 @@
 	t.Helper()
 	tr := &traffic{hosts: make(map[ports.HostID]int)}
 	setUp := func(fl *fleet) {
-		fl.net.Rate = func(ports.HostID) float64 { return slowLink }
-		fl.net.Sent = tr.sent
-		fl.record.Configure(largeConfig(1, 100))
+		fl.net.Bandwidth = func(ports.HostID) float64 { return slowLink }
+		fl.net.OnSend = tr.sent
+		fl.record.PutConfig(largeConfig(1, 100))
 	}
 	withNetwork(t, *scaleHosts, setUp, func(fl *fleet) {
 		tr.reset()
@@ -115,14 +115,14 @@
 	withSlowLinks(t, func(fl *fleet, tr *traffic) {
 		time.Sleep(5 * time.Second)
 		tr.reset()
-		fl.record.Configure(largeConfig(2, 1500))
+		fl.record.PutConfig(largeConfig(2, 1500))
 		took := fl.await(nil, func(h *host) bool { return h.version() == 2 })
 		all, busiest := tr.reset()
 		t.Logf("1400 added routes known after %s, %d kB, busiest host %d kB", took, all>>10, busiest>>10)
 		assert.Check(t, took < time.Second, "in force after %s", took)
 		assert.Check(t, busiest < 1<<20, "%d bytes at one host", busiest)
 		for v := range uint64(12) {
-			fl.record.Configure(largeConfig(3+v, 1500))
+			fl.record.PutConfig(largeConfig(3+v, 1500))
 			time.Sleep(330 * time.Millisecond)
 			assert.Check(t, fl.hosts[1].version() >= 2+v)
 		}
@@ -135,7 +135,7 @@
 // state within half a second, and no host may have to serve all of them.
 func TestHalfTheHostsStartAgainOverSlowLinks(t *testing.T) {
 	withSlowLinks(t, func(fl *fleet, tr *traffic) {
-		fl.record.Configure(largeConfig(2, 1500))
+		fl.record.PutConfig(largeConfig(2, 1500))
 		time.Sleep(5 * time.Second)
 		half := len(fl.hosts) / 2
 		for _, h := range fl.hosts[:half] {
--- a/controller/watch/start_test.go
+++ b/controller/watch/start_test.go
@@ -58,7 +58,7 @@
 func TestCommonStartKeepsTrafficPerHostBounded(t *testing.T) {
 	b := &sentByKind{sent: make(map[ports.HostID]map[peer.Kind]int)}
 	setUp := func(fl *fleet) {
-		fl.net.Sent = b.add
+		fl.net.OnSend = b.add
 		for i := range *startTargets {
 			fl.record.Put(entryOf(10+i, false))
 		}
--- a/controller/watch/watch_test.go
+++ b/controller/watch/watch_test.go
@@ -26,7 +26,7 @@
 		before := fl.record.Calls()
 		time.Sleep(time.Minute)
 		assert.Check(t, fl.record.Calls()-before < 200, "%d calls in an idle minute", fl.record.Calls()-before)
-		fl.record.Configure(config(2))
+		fl.record.PutConfig(config(2))
 		fl.record.Put(entryOf(3, true))
 		took := fl.await(nil, func(h *host) bool { return h.version() == 2 && !h.routesTo(3) })
 		assert.Check(t, took < 200*time.Millisecond, "known after %s", took)
@@ -166,7 +166,7 @@
 // The store rejects the watchers and three other hosts, by refusing and by staying silent. The
 // others must know of a draining target within the bound.
 func TestDrainIsKnownInTimeThoughTheStoreTurnsWatchersAway(t *testing.T) {
-	for _, mode := range []record.Mode{record.Refuses, record.Silent} {
+	for _, mode := range []record.Mode{record.Refusing, record.Unresponsive} {
 		withFleet(t, 14, func(fl *fleet) {
 			away := fl.watching()
 			for _, h := range fl.hosts {
@@ -175,7 +175,7 @@
 				}
 			}
 			for _, h := range away {
-				h.client.Set(mode)
+				h.client.SetMode(mode)
 			}
 			fl.record.Put(entryOf(3, true))
 			took := fl.await(nil, func(h *host) bool { return !h.routesTo(3) })
@@ -189,13 +189,13 @@
 // were written.
 func TestDrainIsKnownInTimeThoughHistoryIsDropped(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
-		fl.record.Mute(true)
+		fl.record.HoldWatches(true)
 		fl.record.Put(entryOf(3, true))
 		fl.record.Remove(targetID(4))
 		start := time.Now()
 		time.Sleep(time.Second)
 		fl.record.DropHistory()
-		fl.record.Mute(false)
+		fl.record.HoldWatches(false)
 		fl.await(nil, func(h *host) bool { return !h.routesTo(3) && !h.routesTo(4) })
 		assert.Check(t, time.Since(start) < bound, "known after %s", time.Since(start))
 	})
--- a/internal/bench/claims/claims.go
+++ b/internal/bench/claims/claims.go
@@ -172,7 +172,7 @@
 	}
 	loadCtx, stop := context.WithTimeout(ctx, s.For)
 	load(loadCtx, b)
-	commits, _ := table.Commits()
+	commits, _ := table.OpCounts()
 	stop()
 	cancel()
 	running.Wait()
--- a/internal/bench/confignet/fleet.go
+++ b/internal/bench/confignet/fleet.go
@@ -197,7 +197,7 @@
 
 // CutLink drops what one host sends to another.
 func (f *Fleet) CutLink(from, to *Host) {
-	f.Net.Cut(from.ID, to.ID)
+	f.Net.Block(from.ID, to.ID)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cuts[pair{from.ID, to.ID}] = true
@@ -205,7 +205,7 @@
 
 // Heal ends all cuts.
 func (f *Fleet) Heal() {
-	f.Net.Heal()
+	f.Net.UnblockAll()
 	f.mu.Lock()
 	clear(f.slow)
 	clear(f.cuts)
--- a/internal/bench/loopback/bench.go
+++ b/internal/bench/loopback/bench.go
@@ -25,7 +25,7 @@
 // bench is one deployment under load.
 type bench struct {
 	opts   Options
-	lab    *lab.Lab
+	lab    *lab.Cluster
 	client *http.Client
 
 	hosts   []string // URLs of the service through the hosts
--- a/internal/fakes/peernet/peernet.go
+++ b/internal/fakes/peernet/peernet.go
@@ -18,15 +18,15 @@
 	// Delay is the time one way between two hosts; nil means none. It is set
 	// before the first message.
 	Delay func(from, to peer.HostID) time.Duration
-	// Rate is what a host's link carries each way, in bytes a second; nil or 0 means any.
+	// Bandwidth is what a host's link carries each way, in bytes a second; nil or 0 means any.
 	// Messages wait for each other there. It is set before the first message.
-	Rate func(host peer.HostID) float64
-	// Sent, if set, hears of each message and reply as it is sent. It is set before the
+	Bandwidth func(host peer.HostID) float64
+	// OnSend, if set, hears of each message and reply as it is sent. It is set before the
 	// first message.
-	Sent func(from, to peer.HostID, kind peer.Kind, size int)
-	// Lost, if set, tells of each message whether it is lost on its way. It is set before the
+	OnSend func(from, to peer.HostID, kind peer.Kind, size int)
+	// Drop, if set, tells of each message whether it is lost on its way. It is set before the
 	// first message.
-	Lost func(from, to peer.HostID, kind peer.Kind) bool
+	Drop func(from, to peer.HostID, kind peer.Kind) bool
 
 	mu    sync.Mutex
 	links map[peer.HostID]*Link
@@ -70,23 +70,23 @@
 	delete(n.links, id)
 }
 
-// Cut drops what is sent from one host to another, in that direction only,
+// Block drops what is sent from one host to another, in that direction only,
 // until Heal.
-func (n *Network) Cut(from, to peer.HostID) {
+func (n *Network) Block(from, to peer.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[[2]peer.HostID{from, to}] = true
 }
 
-// Restore ends the cut in one direction.
-func (n *Network) Restore(from, to peer.HostID) {
+// Unblock ends the cut in one direction.
+func (n *Network) Unblock(from, to peer.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cut, [2]peer.HostID{from, to})
 }
 
-// Heal ends all cuts.
-func (n *Network) Heal() {
+// UnblockAll ends all cuts.
+func (n *Network) UnblockAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.cut)
@@ -104,8 +104,8 @@
 
 // wait takes as long as a message of some size is on its way.
 func (n *Network) wait(from, to peer.HostID, kind peer.Kind, size int) {
-	if n.Sent != nil {
-		n.Sent(from, to, kind, size+frameOverhead)
+	if n.OnSend != nil {
+		n.OnSend(from, to, kind, size+frameOverhead)
 	}
 	n.carry(side{host: from, out: true}, size+frameOverhead)
 	if n.Delay != nil {
@@ -116,7 +116,7 @@
 
 // carry waits until a link has carried a message, behind those before it.
 func (n *Network) carry(s side, size int) {
-	if n.Rate == nil || n.Rate(s.host) <= 0 {
+	if n.Bandwidth == nil || n.Bandwidth(s.host) <= 0 {
 		return
 	}
 	n.mu.Lock()
@@ -125,7 +125,7 @@
 	if begin.Before(now) {
 		begin = now
 	}
-	done := begin.Add(time.Duration(float64(size) / n.Rate(s.host) * float64(time.Second)))
+	done := begin.Add(time.Duration(float64(size) / n.Bandwidth(s.host) * float64(time.Second)))
 	n.free[s] = done
 	n.mu.Unlock()
 	time.Sleep(done.Sub(now))
@@ -185,7 +185,7 @@
 	ctx := context.Background()
 	l.net.wait(l.id, to, kind, len(body))
 	dst := l.net.route(l.id, to)
-	if l.net.Lost != nil && l.net.Lost(l.id, to, kind) {
+	if l.net.Drop != nil && l.net.Drop(l.id, to, kind) {
 		dst = nil
 	}
 	l.note(to, dst != nil)
--- a/internal/fakes/record/copy.go
+++ b/internal/fakes/record/copy.go
@@ -9,8 +9,8 @@
 	"github.com/cactusproxy/cactusproxy/routing"
 )
 
-// Copy is what the record held at a moment.
-type Copy struct {
+// Snapshot is what the record held at a moment.
+type Snapshot struct {
 	revision, configAt directory.Revision
 	config             *routing.Config
 	targets            map[ports.HostID]directory.Target
@@ -18,18 +18,18 @@
 	hosts              []directory.Host
 }
 
-// Copy returns what the record holds.
-func (r *Record) Copy() Copy {
+// Snapshot returns what the record holds.
+func (r *Store) Snapshot() Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return Copy{
+	return Snapshot{
 		revision: r.revision, configAt: r.configAt, config: r.config, hosts: slices.Clone(r.hosts),
 		targets: maps.Clone(r.targets), evacuations: maps.Clone(r.evacuations),
 	}
 }
 
 // Restore has the record come back from an older copy, in the next era.
-func (r *Record) Restore(c Copy) {
+func (r *Store) Restore(c Snapshot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	era := r.revision.Era() + 1
--- a/internal/fakes/record/record.go
+++ b/internal/fakes/record/record.go
@@ -21,17 +21,17 @@
 type Mode uint8
 
 const (
-	// Serves answers after the record's delay.
-	Serves Mode = iota
-	// Refuses answers every call with a refusal.
-	Refuses
-	// Silent never answers, not even calls that were under way.
-	Silent
+	// Serving answers after the record's delay.
+	Serving Mode = iota
+	// Refusing answers every call with a refusal.
+	Refusing
+	// Unresponsive never answers, not even calls that were under way.
+	Unresponsive
 )
 
-// Record holds the configuration and the targets. All methods are safe for
+// Store holds the configuration and the targets. All methods are safe for
 // concurrent use.
-type Record struct {
+type Store struct {
 	mu    sync.Mutex
 	delay time.Duration
 	// lag is how long answers are on their way back.
@@ -55,8 +55,8 @@
 }
 
 // New returns an empty record that answers after a delay.
-func New(delay time.Duration) *Record {
-	return &Record{
+func New(delay time.Duration) *Store {
+	return &Store{
 		delay:    delay,
 		revision: 1,
 		targets:  make(map[ports.HostID]directory.Target),
@@ -67,22 +67,22 @@
 	}
 }
 
-// SetLag changes how long an answer is on its way after it was made.
-func (r *Record) SetLag(d time.Duration) {
+// SetReplyDelay changes how long an answer is on its way after it was made.
+func (r *Store) SetReplyDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lag = d
 }
 
 // Calls returns the number of calls made so far.
-func (r *Record) Calls() int {
+func (r *Store) Calls() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.calls
 }
 
-// Configure writes a configuration.
-func (r *Record) Configure(c *routing.Config) {
+// PutConfig writes a configuration.
+func (r *Store) PutConfig(c *routing.Config) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
@@ -90,11 +90,11 @@
 	r.announce()
 }
 
-// ConfigureUnread writes a configuration that no client can read.
-func (r *Record) ConfigureUnread() { r.Configure(nil) }
+// PutUnreadableConfig writes a configuration that no client can read.
+func (r *Store) PutUnreadableConfig() { r.PutConfig(nil) }
 
 // Put writes a target's entry.
-func (r *Record) Put(t directory.Target) {
+func (r *Store) Put(t directory.Target) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
@@ -105,7 +105,7 @@
 }
 
 // Remove drops a target's entry.
-func (r *Record) Remove(id ports.HostID) {
+func (r *Store) Remove(id ports.HostID) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
@@ -115,7 +115,7 @@
 }
 
 // Evacuate writes an order to evacuate a zone.
-func (r *Record) Evacuate(zone string) {
+func (r *Store) Evacuate(zone string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
@@ -125,8 +125,8 @@
 	r.announce()
 }
 
-// TakeBack drops the order to evacuate a zone.
-func (r *Record) TakeBack(zone string) {
+// EndEvacuation drops the order to evacuate a zone.
+func (r *Store) EndEvacuation(zone string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.revision++
@@ -136,7 +136,7 @@
 }
 
 // Evacuated reports whether an order for a zone is in force.
-func (r *Record) Evacuated(zone string) bool {
+func (r *Store) Evacuated(zone string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, ok := r.evacuations[zone]
@@ -144,15 +144,15 @@
 }
 
 // DropHistory forgets all changes so far: watches from before have to read whole.
-func (r *Record) DropHistory() {
+func (r *Store) DropHistory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.log, r.evacuationLog, r.cutAt = nil, nil, r.revision
 	r.announce()
 }
 
-// Mute holds all watches back, or no longer.
-func (r *Record) Mute(on bool) {
+// HoldWatches holds all watches back, or no longer.
+func (r *Store) HoldWatches(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.muted = on
@@ -160,21 +160,21 @@
 }
 
 // Targets returns the entries.
-func (r *Record) Targets() map[ports.HostID]directory.Target {
+func (r *Store) Targets() map[ports.HostID]directory.Target {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return maps.Clone(r.targets)
 }
 
 // announce is called with the lock held.
-func (r *Record) announce() {
+func (r *Store) announce() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
 // Client is one host's way to the record.
 type Client struct {
-	record *Record
+	record *Store
 	mode   Mode // guarded by the record's lock
 	// spared has topics that the mode does not hold for.
 	spared map[directory.Topic]bool
@@ -183,18 +183,18 @@
 var _ directory.Source = (*Client)(nil)
 
 // Client returns a way to the record for one host.
-func (r *Record) Client() *Client { return &Client{record: r} }
+func (r *Store) Client() *Client { return &Client{record: r} }
 
-// Set changes how the record treats the client.
-func (c *Client) Set(m Mode) {
+// SetMode changes how the record treats the client.
+func (c *Client) SetMode(m Mode) {
 	c.record.mu.Lock()
 	defer c.record.mu.Unlock()
 	c.mode = m
 	c.record.announce()
 }
 
-// Spare has the mode not hold for a topic, as if only other tables of the store were out.
-func (c *Client) Spare(t directory.Topic) {
+// ExemptTopic has the mode not hold for a topic, as if only other tables of the store were out.
+func (c *Client) ExemptTopic(t directory.Topic) {
 	c.record.mu.Lock()
 	defer c.record.mu.Unlock()
 	c.spared = map[directory.Topic]bool{t: true}
@@ -203,7 +203,7 @@
 // modeFor returns how the record treats the client's calls about a topic. The lock is held.
 func (c *Client) modeFor(t directory.Topic) Mode {
 	if c.spared[t] {
-		return Serves
+		return Serving
 	}
 	return c.mode
 }
@@ -215,7 +215,7 @@
 	r.calls++
 	mode, delay := c.modeFor(t), r.delay
 	r.mu.Unlock()
-	if mode == Silent {
+	if mode == Unresponsive {
 		<-ctx.Done()
 		return ctx.Err()
 	}
@@ -224,7 +224,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if mode == Refuses {
+	if mode == Refusing {
 		return errors.Mark(errors.New("turned away"), directory.ErrRefused)
 	}
 	return nil
@@ -241,7 +241,7 @@
 }
 
 // whole returns a topic whole.
-func (r *Record) whole(t directory.Topic) directory.Changes {
+func (r *Store) whole(t directory.Topic) directory.Changes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ch := directory.Changes{Revision: r.revision}
@@ -288,7 +288,7 @@
 	timeout := time.After(wait)
 	for {
 		ch, mode, changed, err := c.look(t, after)
-		if mode == Silent {
+		if mode == Unresponsive {
 			<-ctx.Done()
 			return directory.Changes{}, ctx.Err()
 		}
@@ -340,7 +340,7 @@
 }
 
 // addConfig adds the configuration to an answer. It is called with the lock held.
-func (r *Record) addConfig(ch *directory.Changes) {
+func (r *Store) addConfig(ch *directory.Changes) {
 	ch.Config = r.config
 	ch.ConfigUnreadable = r.config == nil && r.configAt > 0
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -39,8 +39,8 @@
 	Notice time.Duration
 }
 
-// Lab is one deployment. Its methods are safe for concurrent use.
-type Lab struct {
+// Cluster is one deployment. Its methods are safe for concurrent use.
+type Cluster struct {
 	// Store and Platform are the platform and its faults.
 	Store    *store.Store
 	Platform *platform.Server
@@ -56,14 +56,14 @@
 }
 
 // New starts the platform of a deployment without hosts and targets.
-func New(o Options) (*Lab, error) {
+func New(o Options) (*Cluster, error) {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
 	}
 	if o.Notice == 0 {
 		o.Notice = 200 * time.Millisecond
 	}
-	l := &Lab{
+	l := &Cluster{
 		opts:    o,
 		Store:   store.New(o.Limits),
 		hosts:   make(map[string]*Host),
@@ -84,7 +84,7 @@
 }
 
 // writeSecrets makes the files that the hosts' settings name.
-func (l *Lab) writeSecrets() error {
+func (l *Cluster) writeSecrets() error {
 	dir, err := os.MkdirTemp("", "cactuslab")
 	if err != nil {
 		return err
@@ -103,10 +103,10 @@
 }
 
 // PlatformURL is where the platform listens.
-func (l *Lab) PlatformURL() string { return l.platformURL }
+func (l *Cluster) PlatformURL() string { return l.platformURL }
 
 // Close ends everything at once.
-func (l *Lab) Close() {
+func (l *Cluster) Close() {
 	l.mu.Lock()
 	hosts, targets := l.hosts, l.targets
 	l.hosts, l.targets = nil, nil
@@ -134,7 +134,7 @@
 }
 
 // AddHost starts an entry host and lists it.
-func (l *Lab) AddHost(id, zone string) (*Host, error) {
+func (l *Cluster) AddHost(id, zone string) (*Host, error) {
 	s, err := settings.Parse(id, l.settingsOf(id, zone))
 	if err != nil {
 		return nil, err
@@ -159,7 +159,7 @@
 	return h, nil
 }
 
-func (l *Lab) settingsOf(id, zone string) []byte {
+func (l *Cluster) settingsOf(id, zone string) []byte {
 	return fmt.Appendf(nil, `{
 		"host": {"id": %q, "zone": %q},
 		"callers": {"addr": "127.0.0.1:0"},
@@ -171,10 +171,10 @@
 	}`, id, zone, l.file("token"), l.file("peers"), l.file("cluster"), l.platformURL, l.opts.Notice)
 }
 
-func (l *Lab) file(name string) string { return filepath.Join(l.dir, name) }
+func (l *Cluster) file(name string) string { return filepath.Join(l.dir, name) }
 
 // Stop stops a host gracefully and returns what its run returned.
-func (l *Lab) Stop(id string) error {
+func (l *Cluster) Stop(id string) error {
 	h, err := l.Host(id)
 	if err != nil {
 		return err
@@ -189,7 +189,7 @@
 }
 
 // Kill ends a host at once, as a crash would; the platform still lists it.
-func (l *Lab) Kill(id string) error {
+func (l *Cluster) Kill(id string) error {
 	h, err := l.Host(id)
 	if err != nil {
 		return err
@@ -203,7 +203,7 @@
 }
 
 // Host returns a host by its ID.
-func (l *Lab) Host(id string) (*Host, error) {
+func (l *Cluster) Host(id string) (*Host, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if h := l.hosts[id]; h != nil {
@@ -213,14 +213,14 @@
 }
 
 // HostIDs returns the IDs of the hosts that run, sorted.
-func (l *Lab) HostIDs() []string {
+func (l *Cluster) HostIDs() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Sorted(maps.Keys(l.hosts))
 }
 
 // Targets returns all targets, in no particular order.
-func (l *Lab) Targets() []*Target {
+func (l *Cluster) Targets() []*Target {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.Collect(maps.Values(l.targets))
@@ -243,7 +243,7 @@
 }
 
 // AddTarget starts a target and lists it.
-func (l *Lab) AddTarget(id, zone, workspace, service string, o target.Options) (*Target, error) {
+func (l *Cluster) AddTarget(id, zone, workspace, service string, o target.Options) (*Target, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -262,7 +262,7 @@
 }
 
 // Target returns a target by its ID.
-func (l *Lab) Target(id string) (*Target, error) {
+func (l *Cluster) Target(id string) (*Target, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if t := l.targets[id]; t != nil {
@@ -272,15 +272,15 @@
 }
 
 // ListTargets adds targets to the platform's list that do not run.
-func (l *Lab) ListTargets(targets []ports.Host) {
+func (l *Cluster) ListTargets(targets []ports.Host) {
 	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host { return append(list, targets...) })
 }
 
-func (l *Lab) list(h ports.Host) {
+func (l *Cluster) list(h ports.Host) {
 	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host { return append(list, h) })
 }
 
-func (l *Lab) unlist(id string) {
+func (l *Cluster) unlist(id string) {
 	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host {
 		kept := list[:0]
 		for _, h := range list {
@@ -293,7 +293,7 @@
 }
 
 // MarkLeaving marks a host or target as leaving in the platform's list.
-func (l *Lab) MarkLeaving(id string) {
+func (l *Cluster) MarkLeaving(id string) {
 	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host {
 		for i := range list {
 			if string(list[i].ID) == id {
--- a/internal/lab/wait.go
+++ b/internal/lab/wait.go
@@ -34,7 +34,7 @@
 }
 
 // WaitReady returns once a host takes calls.
-func (l *Lab) WaitReady(ctx context.Context, id string) error {
+func (l *Cluster) WaitReady(ctx context.Context, id string) error {
 	h, err := l.Host(id)
 	if err != nil {
 		return err
@@ -44,7 +44,7 @@
 
 // WaitTargets returns once a host knows a number of targets of a service that
 // take new calls.
-func (l *Lab) WaitTargets(ctx context.Context, host, workspace, service string, n int) error {
+func (l *Cluster) WaitTargets(ctx context.Context, host, workspace, service string, n int) error {
 	h, err := l.Host(host)
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 }
 
 // WaitMembers returns once a host sees a number of live entry hosts.
-func (l *Lab) WaitMembers(ctx context.Context, host string, n int) error {
+func (l *Cluster) WaitMembers(ctx context.Context, host string, n int) error {
 	h, err := l.Host(host)
 	if err != nil {
 		return err
@@ -76,7 +76,7 @@
 }
 
 // Apply is ApplyFS with files of this machine.
-func (l *Lab) Apply(ctx context.Context, host, templateFile, workspaceFile string) (operator.ChangeReply, error) {
+func (l *Cluster) Apply(ctx context.Context, host, templateFile, workspaceFile string) (operator.ChangeReply, error) {
 	return l.ApplyFS(ctx, host, osFiles{}, templateFile, workspaceFile)
 }
 
@@ -88,7 +88,7 @@
 
 // ApplyFS applies a workspace and its template, given as files, through a host and
 // waits until it is in force on every host.
-func (l *Lab) ApplyFS(ctx context.Context, host string, files fs.FS, templateFile, workspaceFile string) (operator.ChangeReply, error) {
+func (l *Cluster) ApplyFS(ctx context.Context, host string, files fs.FS, templateFile, workspaceFile string) (operator.ChangeReply, error) {
 	template, err := fs.ReadFile(files, templateFile)
 	if err != nil {
 		return operator.ChangeReply{}, err
@@ -102,7 +102,7 @@
 
 // ApplyText is Apply with the text of the files, against a version of the
 // workspace; nil is the present one.
-func (l *Lab) ApplyText(ctx context.Context, host string, template, workspace config.File, base *uint64) (operator.ChangeReply, error) {
+func (l *Cluster) ApplyText(ctx context.Context, host string, template, workspace config.File, base *uint64) (operator.ChangeReply, error) {
 	h, err := l.Host(host)
 	if err != nil {
 		return operator.ChangeReply{}, err
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -19,7 +19,7 @@
 
 // world is the deployment of one script.
 type world struct {
-	lab *lab.Lab
+	lab *lab.Cluster
 	ctx context.Context
 
 	mu       sync.Mutex
--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -76,8 +76,8 @@
 	s.faults = f
 }
 
-// Commits returns the number of transactions taken and of reads made.
-func (s *Store) Commits() (commits, reads uint64) {
+// OpCounts returns the number of transactions taken and of reads made.
+func (s *Store) OpCounts() (commits, reads uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.commits, s.gets
--- a/internal/standin/target/handler.go
+++ b/internal/standin/target/handler.go
@@ -86,7 +86,7 @@
 	t.mu.Unlock()
 	t.tell(w.Header(), 0)
 	w.Header().Set(targetapi.HeaderShed, targetapi.Yes)
-	if rest := t.Behaviour().Rest; rest > 0 {
+	if rest := t.Behaviour().RetryAfter; rest > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
 	}
 	http.Error(w, "refused before running", http.StatusServiceUnavailable)
--- a/internal/standin/target/options.go
+++ b/internal/standin/target/options.go
@@ -66,7 +66,7 @@
 	FailFast bool `json:"failFast"`
 	// Shed refuses each call before running it, and asks for Rest if that is not 0.
 	Shed bool          `json:"shed"`
-	Rest time.Duration `json:"rest,omitempty"`
+	RetryAfter time.Duration `json:"rest,omitempty"`
 	// BreakOff closes the connection in the middle of each answer.
 	BreakOff bool `json:"breakOff"`
 	// Silent sends none of the headers of package targetapi, except the sign
--- a/internal/vlab/lab.go
+++ b/internal/vlab/lab.go
@@ -20,9 +20,9 @@
 	"github.com/cactusproxy/cactusproxy/settings"
 )
 
-// Lab is one deployment in virtual time. It is used from one goroutine, but for
+// Cluster is one deployment in virtual time. It is used from one goroutine, but for
 // Call, which may be used from many.
-type Lab struct {
+type Cluster struct {
 	Store *store.Store
 	// Table is what hosts that start later get for their table.
 	Table ports.Table
@@ -48,8 +48,8 @@
 )
 
 // New returns a deployment without hosts. keyFile holds the cluster key.
-func New(keyFile string) *Lab {
-	l := &Lab{
+func New(keyFile string) *Cluster {
+	l := &Cluster{
 		Store:   store.New(store.Limits{}),
 		Net:     peernet.New(),
 		Fleet:   NewFleet(5 * time.Millisecond),
@@ -63,7 +63,7 @@
 }
 
 // Start starts an entry host and lists it.
-func (l *Lab) Start(id string) error {
+func (l *Cluster) Start(id string) error {
 	s, err := settings.Parse(id, fmt.Appendf(nil, `{
 		"host": {"id": %q, "zone": "zone-a"},
 		"callers": {"addr": "127.0.0.1:1"},
@@ -96,7 +96,7 @@
 }
 
 // Crash ends a host as a crash would. The platform still lists it for a while.
-func (l *Lab) Crash(id string) {
+func (l *Cluster) Crash(id string) {
 	h := l.remove(id)
 	if h == nil {
 		return
@@ -109,7 +109,7 @@
 }
 
 // Stop stops a host gracefully.
-func (l *Lab) Stop(id string) error {
+func (l *Cluster) Stop(id string) error {
 	h := l.remove(id)
 	if h == nil {
 		return nil
@@ -121,7 +121,7 @@
 	return err
 }
 
-func (l *Lab) remove(id string) *host {
+func (l *Cluster) remove(id string) *host {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.hosts[id]
@@ -133,7 +133,7 @@
 const drain = 10 * time.Second
 
 // Close ends all hosts and lets the messages between them run out.
-func (l *Lab) Close() {
+func (l *Cluster) Close() {
 	for _, id := range l.Hosts() {
 		l.Crash(id)
 	}
@@ -141,7 +141,7 @@
 }
 
 // Hosts returns the IDs of the hosts that run, sorted.
-func (l *Lab) Hosts() []string {
+func (l *Cluster) Hosts() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var ids []string
@@ -153,7 +153,7 @@
 }
 
 // Daemon returns a host that runs, or nil.
-func (l *Lab) Daemon(id string) *cactusproxy.Daemon {
+func (l *Cluster) Daemon(id string) *cactusproxy.Daemon {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if h := l.hosts[id]; h != nil {
@@ -163,25 +163,25 @@
 }
 
 // AddTarget lists a target.
-func (l *Lab) AddTarget(id, workspace, service string) {
+func (l *Cluster) AddTarget(id, workspace, service string) {
 	l.list(ports.Host{
 		ID: ports.HostID(id), Role: ports.RoleTarget, State: ports.HostLive, Zone: "zone-a",
 		Addr: "127.0.0.1:1", Workspace: workspace, Service: service,
 	})
 }
 
-func (l *Lab) list(h ports.Host) {
+func (l *Cluster) list(h ports.Host) {
 	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host { return append(list, h) })
 }
 
-func (l *Lab) unlist(id string) {
+func (l *Cluster) unlist(id string) {
 	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host {
 		return slices.DeleteFunc(list, func(h ports.Host) bool { return string(h.ID) == id })
 	})
 }
 
 // Apply commits a change through a host.
-func (l *Lab) Apply(ctx context.Context, id string, req config.ApplyRequest) config.Outcome {
+func (l *Cluster) Apply(ctx context.Context, id string, req config.ApplyRequest) config.Outcome {
 	d := l.Daemon(id)
 	if d == nil {
 		return config.Outcome{Result: config.ResultUnavailable}
@@ -215,7 +215,7 @@
 
 // Call makes a call and waits for its reply. A call through a host that is gone,
 // or that goes meanwhile, breaks.
-func (l *Lab) Call(req Request) Reply {
+func (l *Cluster) Call(req Request) Reply {
 	d := l.Daemon(req.Host)
 	if d == nil {
 		return Reply{}
--- a/internal/vlab/target.go
+++ b/internal/vlab/target.go
@@ -32,8 +32,8 @@
 	Shedding
 	// Draining targets run what comes and say that they are leaving.
 	Draining
-	// Cutting targets run the call and break the connection off.
-	Cutting
+	// Aborting targets run the call and break the connection off.
+	Aborting
 )
 
 // Run is one run of a call at a target.
@@ -96,7 +96,7 @@
 	if err := sleep(req, f.Service); err != nil {
 		return upstream.Result{Sent: true, Err: err}
 	}
-	if state == Cutting {
+	if state == Aborting {
 		return upstream.Result{Sent: true, Err: errConnection}
 	}
 	return upstream.Result{Sent: true, Response: answer(req, state)}
--- a/ledger/batch/writer_test.go
+++ b/ledger/batch/writer_test.go
@@ -58,7 +58,7 @@
 			assert.Check(t, r.Applied)
 		}
 		assert.Check(t, time.Since(began) < time.Second/2)
-		commits, _ := s.Commits()
+		commits, _ := s.OpCounts()
 		assert.Check(t, commits < 12, "%d", commits)
 	})
 }
@@ -197,7 +197,7 @@
 		w.Go(settle)
 		time.Sleep(50 * time.Millisecond)
 		doAll(w, insert("claim", "mine"))
-		commits, _ := s.Commits()
+		commits, _ := s.OpCounts()
 		assert.Equal(t, commits, uint64(1))
 		settle.Op.Key = "other"
 		w.Go(settle)
--- a/ledger/history_test.go
+++ b/ledger/history_test.go
@@ -141,9 +141,9 @@
 		time.Sleep(f.For)
 		h.late.delay.Store(0)
 	case faultCut:
-		h.w.net.Cut(h.w.hosts[f.Host].id, h.w.hosts[f.Other].id)
+		h.w.net.Block(h.w.hosts[f.Host].id, h.w.hosts[f.Other].id)
 		time.Sleep(f.For)
-		h.w.net.Heal()
+		h.w.net.UnblockAll()
 	case faultFar:
 		h.far[f.Host].Store(int64(f.Arg))
 		time.Sleep(f.For)
--- a/ledger/pool_test.go
+++ b/ledger/pool_test.go
@@ -44,7 +44,7 @@
 func TestLostReplyOfTheCoordinator(t *testing.T) {
 	inWorld(t, 3, pooled, func(t *testing.T, w *world) {
 		w.burst(t, 1, 5)
-		w.net.Cut(w.hosts[0].id, w.hosts[1].id)
+		w.net.Block(w.hosts[0].id, w.hosts[1].id)
 		assert.Check(t, w.burst(t, 1, 1) < 2*time.Second)
 		assert.Check(t, w.hosts[1].count("forwards_failed") > 0)
 	})
--- a/limit_test.go
+++ b/limit_test.go
@@ -65,7 +65,7 @@
 	const rest = 3 * time.Second
 	d := newCatalogue(t)
 	tg := d.targets[0]
-	tg.SetBehaviour(target.Behaviour{Shed: true, Rest: rest})
+	tg.SetBehaviour(target.Behaviour{Shed: true, RetryAfter: rest})
 	for begin, i := time.Now(), 0; time.Since(begin) < rest*2/3; i++ {
 		assert.Equal(t, d.browse(t, i).Status, http.StatusOK)
 		time.Sleep(5 * time.Millisecond)
--- a/random_test.go
+++ b/random_test.go
@@ -80,7 +80,7 @@
 		Host:  rapid.IntRange(0, randomHosts-1).Draw(t, "host"),
 		Other: rapid.IntRange(0, randomHosts-1).Draw(t, "other"),
 		Key:   rapid.IntRange(0, randomKeys-1).Draw(t, "key"),
-		State: vlab.State(rapid.IntRange(0, int(vlab.Cutting)).Draw(t, "state")),
+		State: vlab.State(rapid.IntRange(0, int(vlab.Aborting)).Draw(t, "state")),
 	}
 }
 
@@ -93,7 +93,7 @@
 
 // history plays a script on whole daemons and keeps what was seen.
 type history struct {
-	lab     *vlab.Lab
+	lab     *vlab.Cluster
 	keyFile string
 	// breakTable puts a broken table in place of the platform's.
 	breakTable func(ports.Table) ports.Table
@@ -178,9 +178,9 @@
 	case opStop:
 		h.stop(o.Host)
 	case opCut:
-		h.lab.Net.Cut(ports.HostID(h.hosts[o.Host]), ports.HostID(h.hosts[o.Other]))
+		h.lab.Net.Block(ports.HostID(h.hosts[o.Host]), ports.HostID(h.hosts[o.Other]))
 	case opHeal:
-		h.lab.Net.Heal()
+		h.lab.Net.UnblockAll()
 	case opApply:
 		h.apply(o)
 	}
@@ -244,7 +244,7 @@
 // finish ends all faults, gives the hosts time to settle and checks what was
 // seen.
 func (h *history) finish() {
-	h.lab.Net.Heal()
+	h.lab.Net.UnblockAll()
 	h.lab.Store.SetFaults(store.Faults{Delay: 5 * time.Millisecond})
 	for i := range randomTargets {
 		h.lab.Fleet.Set(ports.HostID(fmt.Sprintf("t%d", i)), vlab.Up)
--- a/slots/random_test.go
+++ b/slots/random_test.go
@@ -106,7 +106,7 @@
 	time.Sleep(3 * time.Second)
 	close(stop)
 	callers.Wait()
-	p.net.Heal()
+	p.net.UnblockAll()
 	p.setCoordinator("h1")
 	p.checkState("h1")
 	for _, h := range p.hosts {
@@ -150,13 +150,13 @@
 	switch f.What {
 	case "cut":
 		for _, h := range p.hosts {
-			p.net.Cut(id, h.id)
-			p.net.Cut(h.id, id)
+			p.net.Block(id, h.id)
+			p.net.Block(h.id, id)
 		}
 	case "lose replies":
-		p.net.Cut(id, other)
+		p.net.Block(id, other)
 	case "heal":
-		p.net.Heal()
+		p.net.UnblockAll()
 	case "coordinator":
 		p.setCoordinator(id)
 	case "nobody":
