--- a/cmd/cactusdemo/calls.go
+++ b/cmd/cactusdemo/calls.go
@@ -9,29 +9,29 @@
 
 	"github.com/oklog/ulid/v2"
 
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/standin/platform"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 )
 
 // send makes a call through a host; key may be empty.
-func (d *demo) send(ctx context.Context, host, method, path, key, body string) (lab.Response, error) {
+func (d *demo) send(ctx context.Context, host, method, path, key, body string) (testcluster.Response, error) {
 	h, err := d.lab.Host(host)
 	if err != nil {
-		return lab.Response{}, err
+		return testcluster.Response{}, err
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+h.CallersAddr()+path, strings.NewReader(body))
 	if err != nil {
-		return lab.Response{}, err
+		return testcluster.Response{}, err
 	}
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
-	return lab.Do(http.DefaultClient, req)
+	return testcluster.Do(http.DefaultClient, req)
 }
 
 // want returns an error unless the response has this outcome and reason.
-func want(r lab.Response, outcome, reason string) error {
+func want(r testcluster.Response, outcome, reason string) error {
 	if r.Outcome != outcome || r.Reason != reason {
 		return fmt.Errorf("want %s/%s, have %s/%s with status %d", outcome, reason, r.Outcome, r.Reason, r.Status)
 	}
@@ -107,7 +107,7 @@
 
 // repeat sends a purchase again until its answer is stored, as a caller does
 // who is told that the first send is in progress.
-func (d *demo) repeat(ctx context.Context, host, key, body string) (lab.Response, error) {
+func (d *demo) repeat(ctx context.Context, host, key, body string) (testcluster.Response, error) {
 	for {
 		r, err := d.send(ctx, host, http.MethodPost, purchase, key, body)
 		if err != nil {
--- a/cmd/cactusdemo/changes.go
+++ b/cmd/cactusdemo/changes.go
@@ -12,7 +12,7 @@
 	"github.com/oklog/ulid/v2"
 
 	"github.com/cactusproxy/cactusproxy/controller/config"
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 	"github.com/cactusproxy/cactusproxy/operator"
 )
@@ -110,7 +110,7 @@
 		}
 		answer <- err
 	}()
-	if err := lab.Wait(ctx, "the call", func() bool { return h.InFlight() == 1 }); err != nil {
+	if err := testcluster.Wait(ctx, "the call", func() bool { return h.InFlight() == 1 }); err != nil {
 		return "", err
 	}
 	if err := d.lab.Stop(host); err != nil {
--- a/cmd/cactusdemo/demo.go
+++ b/cmd/cactusdemo/demo.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/cactusproxy/cactusproxy/controller/config"
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 )
 
@@ -21,7 +21,7 @@
 
 // demo runs the steps and remembers whether all went well.
 type demo struct {
-	lab      *lab.Cluster
+	lab      *testcluster.Cluster
 	examples fs.FS
 	out      io.Writer
 	hosts    []string
--- a/cmd/cactusdemo/main.go
+++ b/cmd/cactusdemo/main.go
@@ -16,7 +16,7 @@
 	"github.com/alexflint/go-arg"
 
 	"github.com/cactusproxy/cactusproxy/examples"
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/logging"
 	"github.com/cactusproxy/cactusproxy/internal/version"
 )
@@ -54,7 +54,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	l, err := lab.New(lab.Options{Log: log})
+	l, err := testcluster.New(testcluster.Options{Log: log})
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
--- a/controller/watch/denial_test.go
+++ b/controller/watch/denial_test.go
@@ -13,7 +13,7 @@
 	"github.com/cactusproxy/cactusproxy/blackboard"
 	"github.com/cactusproxy/cactusproxy/dispatch"
 	"github.com/cactusproxy/cactusproxy/entry"
-	"github.com/cactusproxy/cactusproxy/internal/fakes/record"
+	"github.com/cactusproxy/cactusproxy/internal/fakes/memstore"
 	"github.com/cactusproxy/cactusproxy/metrics"
 	"github.com/cactusproxy/cactusproxy/outcome"
 	"github.com/cactusproxy/cactusproxy/peer"
@@ -87,7 +87,7 @@
 	withNetwork(t, 14, setUp, func(fl *fleet) {
 		h := fl.nonWatcher()
 		slow.Store(h)
-		h.client.SetMode(record.Unresponsive)
+		h.client.SetMode(memstore.Unresponsive)
 		time.Sleep(time.Second)
 		fl.record.PutConfig(config(2))
 		assert.Check(t, h.denials(2) == 0)
@@ -214,7 +214,7 @@
 	}
 	withNetwork(t, 14, setUp, func(fl *fleet) {
 		h := fl.nonWatcher()
-		h.client.SetMode(record.Unresponsive)
+		h.client.SetMode(memstore.Unresponsive)
 		slow.Store(h)
 		time.Sleep(70 * time.Second)
 		fl.record.PutConfig(config(2))
--- a/controller/watch/evacuation_test.go
+++ b/controller/watch/evacuation_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/cactusproxy/cactusproxy/internal/fakes/record"
+	"github.com/cactusproxy/cactusproxy/internal/fakes/memstore"
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
@@ -126,13 +126,13 @@
 			for i := range 14 {
 				h := fl.start(i, true)
 				if out {
-					h.client.SetMode(record.Refusing)
+					h.client.SetMode(memstore.Refusing)
 				}
 			}
 			for i := range 3000 {
 				if i == 1500 {
 					for _, h := range fl.hosts {
-						h.client.SetMode(record.Serving)
+						h.client.SetMode(memstore.Serving)
 					}
 				}
 				for _, h := range fl.hosts {
@@ -171,7 +171,7 @@
 		fl.record.Evacuate("z1")
 		fl.checkEvacuation(nil, "z1", true)
 		for _, h := range fl.hosts {
-			h.client.SetMode(record.Refusing)
+			h.client.SetMode(memstore.Refusing)
 		}
 		fl.record.EndEvacuation("z1")
 		for range 80 {
@@ -181,7 +181,7 @@
 			}
 		}
 		for _, h := range fl.hosts {
-			h.client.SetMode(record.Serving)
+			h.client.SetMode(memstore.Serving)
 		}
 		_, all := fl.timeUntil(nil, func(h *host) bool { return !h.evacuates("z1") })
 		assert.Check(t, all < 2*time.Second, "known %s after the store's return", all)
@@ -200,7 +200,7 @@
 		fl.record.EndEvacuation("z1")
 		fl.checkEvacuation([]*host{cut}, "z1", false)
 		fl.net.UnblockAll()
-		cut.client.SetMode(record.Serving)
+		cut.client.SetMode(memstore.Serving)
 		others := slices.DeleteFunc(slices.Clone(fl.hosts), func(h *host) bool { return h == cut })
 		for range 30 {
 			time.Sleep(100 * time.Millisecond)
--- a/controller/watch/fleet_test.go
+++ b/controller/watch/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/cactusproxy/cactusproxy/blackboard"
 	"github.com/cactusproxy/cactusproxy/directory"
 	"github.com/cactusproxy/cactusproxy/internal/fakes/peernet"
-	"github.com/cactusproxy/cactusproxy/internal/fakes/record"
+	"github.com/cactusproxy/cactusproxy/internal/fakes/memstore"
 	"github.com/cactusproxy/cactusproxy/metrics"
 	"github.com/cactusproxy/cactusproxy/ports"
 	"github.com/cactusproxy/cactusproxy/routing"
@@ -25,7 +25,7 @@
 type fleet struct {
 	t      *testing.T
 	net    *peernet.Network
-	record *record.Store
+	record *memstore.Store
 	hosts  []*host
 	seeds  []string
 	// messages counts the messages between hosts, including replies.
@@ -34,7 +34,7 @@
 
 type host struct {
 	addr   string
-	client *record.Client
+	client *memstore.Client
 	board  *blackboard.Board
 	c      *Controller
 	stop   context.CancelFunc
@@ -53,7 +53,7 @@
 func withNetwork(t *testing.T, n int, setUp, f func(fl *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		fl := &fleet{t: t, net: peernet.New(), record: record.New(5 * time.Millisecond)}
+		fl := &fleet{t: t, net: peernet.New(), record: memstore.New(5 * time.Millisecond)}
 		fl.net.Delay = func(ports.HostID, ports.HostID) time.Duration {
 			fl.messages.Add(1)
 			return time.Millisecond
@@ -186,7 +186,7 @@
 
 // isolate cuts a host off from all others and from the store, as if its process were stopped.
 func (fl *fleet) isolate(h *host) {
-	h.client.SetMode(record.Unresponsive)
+	h.client.SetMode(memstore.Unresponsive)
 	for _, other := range fl.hosts {
 		fl.net.Block(ports.HostID(h.addr), ports.HostID(other.addr))
 		fl.net.Block(ports.HostID(other.addr), ports.HostID(h.addr))
--- a/controller/watch/hosts_test.go
+++ b/controller/watch/hosts_test.go
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/cactusproxy/cactusproxy/internal/fakes/record"
+	"github.com/cactusproxy/cactusproxy/internal/fakes/memstore"
 	"github.com/cactusproxy/cactusproxy/policy/watchers"
 	"github.com/cactusproxy/cactusproxy/ports"
 )
@@ -48,7 +48,7 @@
 			assert.Equal(t, h.lists(cut.addr), h == cut, "%s", h.addr)
 		}
 		fl.net.UnblockAll()
-		cut.client.SetMode(record.Serving)
+		cut.client.SetMode(memstore.Serving)
 		fl.start(4, true)
 		for range 20 {
 			time.Sleep(3 * time.Second)
--- a/controller/watch/outage_test.go
+++ b/controller/watch/outage_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/cactusproxy/cactusproxy/directory"
-	"github.com/cactusproxy/cactusproxy/internal/fakes/record"
+	"github.com/cactusproxy/cactusproxy/internal/fakes/memstore"
 	"github.com/cactusproxy/cactusproxy/policy/watchers"
 )
 
@@ -17,7 +17,7 @@
 // that it is down, followed by occasional ones. After its return changes must be known soon.
 func TestOutageIsMetWithFewCalls(t *testing.T) {
 	for _, n := range []int{14, 121} {
-		for _, mode := range []record.Mode{record.Refusing, record.Unresponsive} {
+		for _, mode := range []memstore.Mode{memstore.Refusing, memstore.Unresponsive} {
 			withFleet(t, n, func(fl *fleet) {
 				for _, h := range fl.hosts {
 					h.client.SetMode(mode)
@@ -28,7 +28,7 @@
 				assert.Check(t, calls < 160, "%d calls of %d hosts in mode %d", calls, n, mode)
 				fl.record.Put(entryOf(3, true))
 				for _, h := range fl.hosts {
-					h.client.SetMode(record.Serving)
+					h.client.SetMode(memstore.Serving)
 				}
 				took := fl.await(nil, func(h *host) bool { return !h.routesTo(3) })
 				assert.Check(t, took < time.Second, "known %s after the return", took)
@@ -77,7 +77,7 @@
 				}
 			}
 			for _, h := range away {
-				h.client.SetMode(record.Unresponsive)
+				h.client.SetMode(memstore.Unresponsive)
 			}
 			time.Sleep(10 * time.Second)
 			fl.record.Put(entryOf(3, true))
@@ -108,7 +108,7 @@
 			setUp(h)
 		}
 		for _, h := range fl.hosts {
-			h.client.SetMode(record.Refusing)
+			h.client.SetMode(memstore.Refusing)
 		}
 		time.Sleep(2 * time.Second)
 		for i := range 10 {
@@ -116,7 +116,7 @@
 		}
 		time.Sleep(2 * time.Second)
 		for _, h := range fl.hosts {
-			h.client.SetMode(record.Serving)
+			h.client.SetMode(memstore.Serving)
 		}
 		back := time.Now()
 		for i := range 9 {
@@ -139,11 +139,11 @@
 func TestStartWithoutStore(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		for _, h := range fl.hosts {
-			h.client.SetMode(record.Refusing)
+			h.client.SetMode(memstore.Refusing)
 		}
 		time.Sleep(time.Second)
 		h := fl.start(20, true)
-		h.client.SetMode(record.Refusing)
+		h.client.SetMode(memstore.Refusing)
 		time.Sleep(time.Second)
 		assert.Equal(t, h.version(), uint64(1))
 		assert.Check(t, h.routesTo(0))
@@ -156,11 +156,11 @@
 	withFleet(t, 30, func(fl *fleet) {
 		for _, silent := range []time.Duration{400 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
 			for _, h := range fl.hosts {
-				h.client.SetMode(record.Unresponsive)
+				h.client.SetMode(memstore.Unresponsive)
 			}
 			time.Sleep(silent)
 			for _, h := range fl.hosts {
-				h.client.SetMode(record.Serving)
+				h.client.SetMode(memstore.Serving)
 			}
 			fl.record.Put(entryOf(3, false))
 			fl.await(nil, func(h *host) bool { return h.routesTo(3) })
@@ -178,7 +178,7 @@
 func TestHostsThatStartInAnOutageDropNoTargets(t *testing.T) {
 	withFleet(t, 14, func(fl *fleet) {
 		for _, h := range fl.hosts {
-			h.client.SetMode(record.Refusing)
+			h.client.SetMode(memstore.Refusing)
 		}
 		time.Sleep(4 * time.Second)
 		fl.record.Remove(targetID(0))
@@ -189,11 +189,11 @@
 		fl.hosts = slices.Clone(old)
 		for i := range 7 {
 			h := fl.start(i, true)
-			h.client.SetMode(record.Refusing)
+			h.client.SetMode(memstore.Refusing)
 		}
 		time.Sleep(time.Second)
 		for _, h := range fl.hosts {
-			h.client.SetMode(record.Serving)
+			h.client.SetMode(memstore.Serving)
 		}
 		for begin := time.Now(); time.Since(begin) < 1800*time.Millisecond; time.Sleep(10 * time.Millisecond) {
 			for _, h := range old {
--- a/controller/watch/random_test.go
+++ b/controller/watch/random_test.go
@@ -7,7 +7,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/cactusproxy/cactusproxy/internal/fakes/record"
+	"github.com/cactusproxy/cactusproxy/internal/fakes/memstore"
 	"github.com/cactusproxy/cactusproxy/ports"
 	"github.com/cactusproxy/cactusproxy/routing"
 )
@@ -84,11 +84,11 @@
 	case 5:
 		h.record.Remove(targetID(h.rng.IntN(h.nextTarget)))
 	case 6:
-		h.anyHost().client.SetMode(record.Unresponsive)
+		h.anyHost().client.SetMode(memstore.Unresponsive)
 	case 7:
-		h.anyHost().client.SetMode(record.Refusing)
+		h.anyHost().client.SetMode(memstore.Refusing)
 	case 8:
-		h.anyHost().client.SetMode(record.Serving)
+		h.anyHost().client.SetMode(memstore.Serving)
 	case 9:
 		h.isolate(h.anyHost())
 	case 10:
@@ -193,7 +193,7 @@
 func (h *history) heal() {
 	h.net.UnblockAll()
 	for _, host := range h.hosts {
-		host.client.SetMode(record.Serving)
+		host.client.SetMode(memstore.Serving)
 	}
 }
 
--- a/controller/watch/watch_test.go
+++ b/controller/watch/watch_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 
 	"github.com/cactusproxy/cactusproxy/blackboard"
-	"github.com/cactusproxy/cactusproxy/internal/fakes/record"
+	"github.com/cactusproxy/cactusproxy/internal/fakes/memstore"
 	"github.com/cactusproxy/cactusproxy/policy/watchers"
 	"github.com/cactusproxy/cactusproxy/ports"
 	"github.com/cactusproxy/cactusproxy/routing"
@@ -166,7 +166,7 @@
 // The store rejects the watchers and three other hosts, by refusing and by staying silent. The
 // others must know of a draining target within the bound.
 func TestDrainIsKnownInTimeThoughTheStoreTurnsWatchersAway(t *testing.T) {
-	for _, mode := range []record.Mode{record.Refusing, record.Unresponsive} {
+	for _, mode := range []memstore.Mode{memstore.Refusing, memstore.Unresponsive} {
 		withFleet(t, 14, func(fl *fleet) {
 			away := fl.watching()
 			for _, h := range fl.hosts {
--- a/internal/bench/capacity/memory.go
+++ b/internal/bench/capacity/memory.go
@@ -13,7 +13,7 @@
 	"github.com/cactusproxy/cactusproxy/controller/config"
 	"github.com/cactusproxy/cactusproxy/internal/bench/confignet"
 	"github.com/cactusproxy/cactusproxy/internal/fakes/peernet"
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/standin/store"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 	"github.com/cactusproxy/cactusproxy/ledger"
@@ -64,7 +64,7 @@
 	run, cancel := context.WithCancel(ctx)
 	done := make(chan error, 1)
 	go func() { done <- d.Run(run) }()
-	err = lab.Wait(ctx, "the list", func() bool { return targetsKnown(d) == listed })
+	err = testcluster.Wait(ctx, "the list", func() bool { return targetsKnown(d) == listed })
 	used := heap() - before
 	cancel()
 	<-done
@@ -98,7 +98,7 @@
 // measureCallMemory holds calls in flight through one host.
 func measureCallMemory(ctx context.Context, s *Slopes) error {
 	s.CallMemory = Slope{Name: "call-memory", X: "calls in flight", Y: "bytes of heap of caller, host and target together"}
-	l, err := lab.New(lab.Options{})
+	l, err := testcluster.New(testcluster.Options{})
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 	return t
 }
 
-func openCallHeap(ctx context.Context, h *lab.Host, n int) (float64, error) {
+func openCallHeap(ctx context.Context, h *testcluster.Host, n int) (float64, error) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	before := heap()
@@ -152,10 +152,10 @@
 				return
 			}
 			req.Header.Set(target.HeaderRunFor, longCall.String())
-			_, _ = lab.Do(client, req)
+			_, _ = testcluster.Do(client, req)
 		})
 	}
-	err := lab.Wait(ctx, "the calls", func() bool { return h.InFlight() >= int64(n)*9/10 })
+	err := testcluster.Wait(ctx, "the calls", func() bool { return h.InFlight() >= int64(n)*9/10 })
 	used := heap() - before
 	wg.Wait()
 	return used, err
--- a/internal/bench/loopback/bench.go
+++ b/internal/bench/loopback/bench.go
@@ -10,7 +10,7 @@
 
 	"github.com/cactusproxy/cactusproxy/controller/config"
 	"github.com/cactusproxy/cactusproxy/internal/bench/confignet"
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 	"github.com/cactusproxy/cactusproxy/ports"
 )
@@ -25,7 +25,7 @@
 // bench is one deployment under load.
 type bench struct {
 	opts   Options
-	lab    *lab.Cluster
+	lab    *testcluster.Cluster
 	client *http.Client
 
 	hosts   []string // URLs of the service through the hosts
@@ -34,7 +34,7 @@
 }
 
 func newBench(ctx context.Context, o Options) (*bench, error) {
-	l, err := lab.New(lab.Options{})
+	l, err := testcluster.New(testcluster.Options{})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/fakes/record/copy.go
+++ b/internal/fakes/memstore/copy.go
@@ -1,4 +1,4 @@
-package record
+package memstore
 
 import (
 	"maps"
--- a/internal/fakes/record/record.go
+++ b/internal/fakes/memstore/record.go
@@ -1,7 +1,7 @@
 // Package record is the platform's record in memory, for tests in virtual time. Each
 // host reaches it through a Client of its own, which can be turned away in the ways
 // in which a platform's store fails.
-package record
+package memstore
 
 import (
 	"context"
--- a/internal/scenario/calls.go
+++ b/internal/scenario/calls.go
@@ -9,7 +9,7 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 )
 
@@ -48,7 +48,7 @@
 	method, path string
 }
 
-func (c *caller) until() (lab.Response, error) {
+func (c *caller) until() (testcluster.Response, error) {
 	for {
 		r, err := c.once()
 		want := c.opts["until"]
@@ -61,12 +61,12 @@
 	}
 }
 
-func (c *caller) once() (lab.Response, error) {
+func (c *caller) once() (testcluster.Response, error) {
 	req, err := c.request()
 	if err != nil {
-		return lab.Response{}, err
+		return testcluster.Response{}, err
 	}
-	return lab.Do(http.DefaultClient, req)
+	return testcluster.Do(http.DefaultClient, req)
 }
 
 func (c *caller) request() (*http.Request, error) {
@@ -115,7 +115,7 @@
 	c.w.pending[name] = done
 	c.w.mu.Unlock()
 	// A call before it may end meanwhile, and then the number does not rise.
-	return lab.Wait(c.w.ctx, "the call to arrive", func() bool { return h.InFlight() > before || len(done) > 0 })
+	return testcluster.Wait(c.w.ctx, "the call to arrive", func() bool { return h.InFlight() > before || len(done) > 0 })
 }
 
 // cmdAwait waits for a call in the background and checks what its caller is
@@ -188,7 +188,7 @@
 //	begun key
 func cmdBegun(ts *testscript.TestScript, w *world, args []string) {
 	need(ts, args, 1, "begun key")
-	ts.Check(lab.Wait(w.ctx, "a run of "+args[0], func() bool { return runsOf(w, args[0]) > 0 }))
+	ts.Check(testcluster.Wait(w.ctx, "a run of "+args[0], func() bool { return runsOf(w, args[0]) > 0 }))
 }
 
 // cmdRan checks the number of calls that one target ran since the last look at
@@ -233,7 +233,7 @@
 //	until map key n|<n|>n
 func cmdUntil(ts *testscript.TestScript, w *world, args []string) {
 	need(ts, args, 3, "until map key n")
-	ts.Check(lab.Wait(w.ctx, args[0]+"."+args[1], func() bool {
+	ts.Check(testcluster.Wait(w.ctx, args[0]+"."+args[1], func() bool {
 		return holds(ts, sumCounter(ts, w, args[0], args[1]), args[2])
 	}))
 }
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -10,7 +10,7 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 )
 
 // loadCallers is the number of callers of a load; each makes one call after the
@@ -85,7 +85,7 @@
 		l.note("%v", err)
 		return
 	}
-	r, err := lab.Do(l.client, req)
+	r, err := testcluster.Do(l.client, req)
 	if err != nil {
 		l.note("through %s: %v", h.ID, err)
 		return
@@ -98,7 +98,7 @@
 }
 
 // ready returns a host that says it is ready.
-func (l *load) ready(rng *rand.Rand) *lab.Host {
+func (l *load) ready(rng *rand.Rand) *testcluster.Host {
 	ids := l.w.lab.HostIDs()
 	for _, i := range rng.Perm(len(ids)) {
 		h, err := l.w.lab.Host(ids[i])
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -14,12 +14,12 @@
 
 	"github.com/rogpeppe/go-internal/testscript"
 
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 )
 
 // world is the deployment of one script.
 type world struct {
-	lab *lab.Cluster
+	lab *testcluster.Cluster
 	ctx context.Context
 
 	mu       sync.Mutex
@@ -30,7 +30,7 @@
 
 // result is what a call in the background came to.
 type result struct {
-	resp lab.Response
+	resp testcluster.Response
 	err  error
 }
 
@@ -55,7 +55,7 @@
 const notice = 400 * time.Millisecond
 
 func setup(env *testscript.Env, examples string) error {
-	l, err := lab.New(lab.Options{Notice: notice})
+	l, err := testcluster.New(testcluster.Options{Notice: notice})
 	if err != nil {
 		return err
 	}
--- a/internal/vlab/lab.go
+++ b/internal/simcluster/lab.go
@@ -1,4 +1,4 @@
-package vlab
+package simcluster
 
 import (
 	"context"
--- a/internal/vlab/target.go
+++ b/internal/simcluster/target.go
@@ -1,7 +1,7 @@
 // Package vlab puts whole daemons between fakes of everything they talk to, in
 // virtual time: an in-memory platform and network of peers, and targets behind
 // the round trip. It is for randomised runs inside a testing/synctest bubble.
-package vlab
+package simcluster
 
 import (
 	"context"
--- a/internal/lab/lab.go
+++ b/internal/testcluster/lab.go
@@ -1,7 +1,7 @@
 // Package lab is a whole deployment in one process: the platform's stand-in,
 // entry hosts and targets, which speak to each other over loopback. The demo,
 // the scenarios and the load tool are built on it.
-package lab
+package testcluster
 
 import (
 	"context"
--- a/internal/lab/wait.go
+++ b/internal/testcluster/wait.go
@@ -1,4 +1,4 @@
-package lab
+package testcluster
 
 import (
 	"context"
--- a/limit_test.go
+++ b/limit_test.go
@@ -10,18 +10,18 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 )
 
 // catalogue is three coordinated hosts and three targets of one service.
 type catalogue struct {
-	hosts   []*lab.Host
-	targets []*lab.Target
+	hosts   []*testcluster.Host
+	targets []*testcluster.Target
 }
 
 func newCatalogue(t *testing.T) *catalogue {
-	l, err := lab.New(lab.Options{})
+	l, err := testcluster.New(testcluster.Options{})
 	assert.NilError(t, err)
 	t.Cleanup(l.Close)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -50,11 +50,11 @@
 }
 
 // browse sends a read through one of the hosts.
-func (d *catalogue) browse(t *testing.T, host int) lab.Response {
+func (d *catalogue) browse(t *testing.T, host int) testcluster.Response {
 	addr := d.hosts[host%len(d.hosts)].CallersAddr()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+"/subasta-verde/catalogue/lots", nil)
 	assert.Check(t, err)
-	r, err := lab.Do(http.DefaultClient, req)
+	r, err := testcluster.Do(http.DefaultClient, req)
 	assert.Check(t, err)
 	return r
 }
--- a/random_test.go
+++ b/random_test.go
@@ -20,7 +20,7 @@
 	"github.com/cactusproxy/cactusproxy/internal/bench/confignet"
 	"github.com/cactusproxy/cactusproxy/internal/invariant"
 	"github.com/cactusproxy/cactusproxy/internal/standin/store"
-	"github.com/cactusproxy/cactusproxy/internal/vlab"
+	"github.com/cactusproxy/cactusproxy/internal/simcluster"
 	"github.com/cactusproxy/cactusproxy/outcome"
 	"github.com/cactusproxy/cactusproxy/ports"
 )
@@ -70,7 +70,7 @@
 	Host  int
 	Other int
 	Key   int
-	State vlab.State
+	State simcluster.State
 }
 
 func drawOp(t *rapid.T) op {
@@ -80,20 +80,20 @@
 		Host:  rapid.IntRange(0, randomHosts-1).Draw(t, "host"),
 		Other: rapid.IntRange(0, randomHosts-1).Draw(t, "other"),
 		Key:   rapid.IntRange(0, randomKeys-1).Draw(t, "key"),
-		State: vlab.State(rapid.IntRange(0, int(vlab.Aborting)).Draw(t, "state")),
+		State: simcluster.State(rapid.IntRange(0, int(simcluster.Aborting)).Draw(t, "state")),
 	}
 }
 
 // send is one call of the history and what its caller was told.
 type send struct {
-	req        vlab.Request
+	req        simcluster.Request
 	begun, end time.Time
-	reply      vlab.Reply
+	reply      simcluster.Reply
 }
 
 // history plays a script on whole daemons and keeps what was seen.
 type history struct {
-	lab     *vlab.Cluster
+	lab     *simcluster.Cluster
 	keyFile string
 	// breakTable puts a broken table in place of the platform's.
 	breakTable func(ports.Table) ports.Table
@@ -117,7 +117,7 @@
 
 // start begins a deployment with one workspace in force.
 func (h *history) start() {
-	h.lab = vlab.New(h.keyFile)
+	h.lab = simcluster.New(h.keyFile)
 	if h.breakTable != nil {
 		h.lab.Table = h.breakTable(h.lab.Table)
 	}
@@ -158,7 +158,7 @@
 			h.order(place, o.Key)
 		}
 	case opIssue:
-		if r := h.lab.Call(vlab.Request{Host: h.hosts[o.Host], Method: "POST", Path: "/.cactusproxy/keys/w/s0"}); r.Status == http.StatusCreated {
+		if r := h.lab.Call(simcluster.Request{Host: h.hosts[o.Host], Method: "POST", Path: "/.cactusproxy/keys/w/s0"}); r.Status == http.StatusCreated {
 			h.keys[o.Key] = strings.TrimSpace(r.Body)
 		}
 	case opBrowse:
@@ -202,7 +202,7 @@
 func (h *history) call(place int, method, path, key string) {
 	h.mu.Lock()
 	h.serial++
-	s := send{req: vlab.Request{
+	s := send{req: simcluster.Request{
 		Host: h.hosts[place], Method: method, Path: path, Key: key,
 		ID: fmt.Sprintf("r%d", h.serial), Body: "body of " + key,
 	}, begun: time.Now()}
@@ -247,7 +247,7 @@
 	h.lab.Net.UnblockAll()
 	h.lab.Store.SetFaults(store.Faults{Delay: 5 * time.Millisecond})
 	for i := range randomTargets {
-		h.lab.Fleet.Set(ports.HostID(fmt.Sprintf("t%d", i)), vlab.Up)
+		h.lab.Fleet.Set(ports.HostID(fmt.Sprintf("t%d", i)), simcluster.Up)
 	}
 	h.wg.Wait()
 	time.Sleep(10 * time.Second)
@@ -277,7 +277,7 @@
 	for _, s := range h.sends {
 		begun[s.req.ID] = s.begun
 	}
-	runs := make(map[string][]vlab.Run)
+	runs := make(map[string][]simcluster.Run)
 	for _, r := range h.lab.Fleet.Runs() {
 		if r.Key != "" {
 			runs[r.Key] = append(runs[r.Key], r)
