--- a/internal/standin/platform/switches.go
+++ b/internal/standin/platform/control.go
@@ -9,7 +9,7 @@
 	ports "github.com/cactusproxy/cactusproxy/ports"
 )
 
-func (s *Server) getFaults(w http.ResponseWriter, _ *http.Request) { answer(w, s.Faults(), nil) }
+func (s *Server) getFaults(w http.ResponseWriter, _ *http.Request) { respond(w, s.Faults(), nil) }
 
 func (s *Server) putFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
@@ -27,17 +27,17 @@
 	}
 	h.ID = ports.HostID(chi.URLParam(r, "id"))
 	s.store.ChangeHosts(func(list []ports.Host) []ports.Host {
-		return append(without(list, h.ID), h)
+		return append(removeHost(list, h.ID), h)
 	})
 	w.WriteHeader(http.StatusNoContent)
 }
 
 func (s *Server) deleteHost(w http.ResponseWriter, r *http.Request) {
 	id := ports.HostID(chi.URLParam(r, "id"))
-	s.store.ChangeHosts(func(list []ports.Host) []ports.Host { return without(list, id) })
+	s.store.ChangeHosts(func(list []ports.Host) []ports.Host { return removeHost(list, id) })
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func without(list []ports.Host, id ports.HostID) []ports.Host {
+func removeHost(list []ports.Host, id ports.HostID) []ports.Host {
 	return slices.DeleteFunc(list, func(h ports.Host) bool { return h.ID == id })
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform serves the platform's stand-in over HTTP: the table, the
-// object store and the list of hosts of package internal/standin/store, with
-// switches for their faults.
+// Package platform serves a simulated platform over HTTP: the table, object store and host
+// list of package internal/standin/store. Further endpoints inject faults and change the
+// host list while it runs.
 package platform
 
 import (
@@ -25,60 +25,62 @@
 )
 
 const (
-	// maxRequests bounds the requests that wait or run; more are refused.
+	// maxRequests bounds the requests being handled at once; further ones get status 429.
 	maxRequests = 1000
-	// maxBody bounds the body of one request in bytes.
+	// maxBody bounds a request body, in bytes.
 	maxBody = 64 << 20
 )
 
-// Faults is what is wrong with the platform; the zero value is nothing.
-// Durations are nanoseconds in JSON.
+// Faults are the injected faults; the zero value injects none. Durations are nanoseconds in
+// JSON.
 type Faults struct {
-	// Down refuses every request as not applied.
+	// Down rejects every request as not applied.
 	Down bool `json:"down"`
-	// Delay is how long each request takes.
+	// Delay is added to each request.
 	Delay time.Duration `json:"delay"`
-	// LoseReplies is the share of writes, 0 to 1, whose connection is cut
-	// after they took effect; Seed fixes which.
+	// LoseReplies is the share of writes, 0 to 1, that are applied but whose connection is
+	// closed without a response. Seed makes the choice reproducible.
 	LoseReplies float64 `json:"loseReplies"`
 	Seed        uint64  `json:"seed"`
-	// HostLag is how long a change of the list takes to be seen.
+	// HostLag is the delay before readers see a change to the host list.
 	HostLag time.Duration `json:"hostLag"`
 }
 
-// Options say what to serve.
+// Options configures a Server.
 type Options struct {
 	Store *store.Store
-	// Token is the bearer token that is asked for; empty asks for none.
+	// Token is the bearer token that requests must carry; if empty, none is required.
 	Token string
 }
 
-// Server is the stand-in's HTTP side.
+// Server is the HTTP server of the simulated platform.
 type Server struct {
 	store *store.Store
 	token string
-	room  chan struct{}
+	// admitted is a semaphore for the requests being handled.
+	admitted chan struct{}
 
 	mu     sync.Mutex
 	faults Faults
 }
 
-// New returns a server of the store.
+// New returns a server without faults.
 func New(o Options) *Server {
-	return &Server{store: o.Store, token: o.Token, room: make(chan struct{}, maxRequests)}
+	return &Server{store: o.Store, token: o.Token, admitted: make(chan struct{}, maxRequests)}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all injected faults.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	s.faults = f
 	s.mu.Unlock()
 	s.store.SetHostLag(f.HostLag)
-	s.store.SetFaults(store.Faults{Down: f.Down, Delay: f.Delay, LoseReply: loser(f)})
+	s.store.SetFaults(store.Faults{Down: f.Down, Delay: f.Delay, LoseReply: replyLoss(f)})
 }
 
-// loser draws which replies are lost.
-func loser(f Faults) func() bool {
+// replyLoss returns a function that decides for each write whether its reply is lost, or nil
+// if none are.
+func replyLoss(f Faults) func() bool {
 	if f.LoseReplies <= 0 {
 		return nil
 	}
@@ -91,14 +93,14 @@
 	}
 }
 
-// Faults returns the present faults.
+// Faults returns the faults in effect.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Handler serves the platform's API, and the switches:
+// Handler serves the platform's API and the control endpoints:
 //
 //	GET, PUT /standin/faults     Faults
 //	PUT      /standin/hosts/{id} ports.Host, adding or replacing it
@@ -107,7 +109,7 @@
 	r := chi.NewRouter()
 	r.Use(s.authenticate)
 	r.Group(func(r chi.Router) {
-		r.Use(s.bound)
+		r.Use(s.limitRequests)
 		r.Post(httpstore.PathGet, s.get)
 		r.Post(httpstore.PathScan, s.scan)
 		r.Post(httpstore.PathCommit, s.commit)
@@ -134,12 +136,12 @@
 	})
 }
 
-// bound refuses requests beyond those that fit.
-func (s *Server) bound(next http.Handler) http.Handler {
+// limitRequests rejects requests beyond maxRequests and limits request bodies to maxBody.
+func (s *Server) limitRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case s.room <- struct{}{}:
-			defer func() { <-s.room }()
+		case s.admitted <- struct{}{}:
+			defer func() { <-s.admitted }()
 			r.Body = http.MaxBytesReader(w, r.Body, maxBody)
 			next.ServeHTTP(w, r)
 		default:
@@ -159,7 +161,7 @@
 		return
 	}
 	rows, err := s.store.Get(r.Context(), req.Keys...)
-	answer(w, httpstore.RowsResponse{Rows: rows}, err)
+	respond(w, httpstore.RowsResponse{Rows: rows}, err)
 }
 
 func (s *Server) scan(w http.ResponseWriter, r *http.Request) {
@@ -172,21 +174,21 @@
 		return
 	}
 	rows, err := s.store.Scan(r.Context(), req.Prefix, req.After, req.Limit)
-	answer(w, httpstore.RowsResponse{Rows: rows}, err)
+	respond(w, httpstore.RowsResponse{Rows: rows}, err)
 }
 
-// commit applies a transaction also if its sender has gone by then: a request
-// that has arrived takes its course.
+// commit applies the transaction even if the client disconnects meanwhile, as a real store
+// does with a request that it has received.
 func (s *Server) commit(w http.ResponseWriter, r *http.Request) {
 	var req httpstore.CommitRequest
 	if !decode(w, r, &req) {
 		return
 	}
 	res, err := s.store.Commit(context.WithoutCancel(r.Context()), req.Ops...)
-	answer(w, res, err)
+	respond(w, res, err)
 }
 
-// objectName returns the name as it was before it was escaped in the path.
+// objectName returns the unescaped object name from the request path.
 func objectName(r *http.Request) string {
 	name := strings.TrimPrefix(r.URL.EscapedPath(), httpstore.PathObjects)
 	if plain, err := url.PathUnescape(name); err == nil {
@@ -202,11 +204,11 @@
 		return
 	}
 	if err != nil {
-		answer(w, nil, err)
+		respond(w, nil, err)
 		return
 	}
 	w.Header().Set("Content-Type", "application/octet-stream")
-	// A failed write means that the reader has gone.
+	// A failed write means that the client has disconnected.
 	_, _ = w.Write(data)
 }
 
@@ -217,7 +219,7 @@
 		return
 	}
 	err = s.store.Objects().Put(context.WithoutCancel(r.Context()), objectName(r), data)
-	answer(w, struct{}{}, err)
+	respond(w, struct{}{}, err)
 }
 
 func (s *Server) hosts(w http.ResponseWriter, r *http.Request) {
@@ -227,12 +229,12 @@
 		return
 	}
 	snap, err := s.store.Hosts().List(r.Context(), known)
-	answer(w, snap, err)
+	respond(w, snap, err)
 }
 
-// answer sends v, or what the error stands for: a lost answer cuts the
-// connection.
-func answer(w http.ResponseWriter, v any, err error) {
+// respond sends v as JSON, or the response for err. For ErrUncertain it aborts the
+// connection, so that the client can't tell whether the request was applied.
+func respond(w http.ResponseWriter, v any, err error) {
 	switch {
 	case errors.Is(err, ports.ErrUncertain):
 		panic(http.ErrAbortHandler)
@@ -240,12 +242,12 @@
 		notApplied(w, http.StatusServiceUnavailable, err.Error())
 	default:
 		w.Header().Set("Content-Type", "application/json; charset=utf-8")
-		// A failed write means that the reader has gone.
+		// A failed write means that the client has disconnected.
 		_ = json.NewEncoder(w).Encode(v)
 	}
 }
 
-// decode reads the JSON body, or answers 400 and returns false.
+// decode reads the JSON body. If that fails, it responds with status 400 and returns false.
 func decode(w http.ResponseWriter, r *http.Request, v any) bool {
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
