--- a/internal/standin/store/store.go
+++ b/internal/standin/store/store.go
@@ -1,6 +1,6 @@
-// Package store is an in-memory stand-in for the platform's table, object
-// store and host list, with the faults that the platform is known for: outages,
-// slowness, answers lost after a write took effect, and a rate limit.
+// Package store is an in-memory implementation of the platform's table, object store and host
+// list for tests. It can inject the faults of a real platform: outages, slow operations,
+// replies lost after a write was applied, a delayed host list, and rate limits.
 package store
 
 import (
@@ -16,25 +16,25 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Faults is what is wrong with the platform at the moment. The zero value is a
-// platform that answers at once.
+// Faults are the injected faults. The zero value injects none.
 type Faults struct {
-	// Down refuses every operation with ErrUnavailable after Delay.
+	// Down fails every operation with ErrUnavailable, after Delay.
 	Down bool `json:"down"`
-	// Delay is how long each operation takes.
+	// Delay is added to each operation.
 	Delay time.Duration `json:"delay"`
-	// LoseReply is asked after each write that took effect; true loses the
-	// answer, so that the caller gets ErrUncertain. Nil loses none.
+	// LoseReply is called after each write has been applied. If it returns true, the caller
+	// gets ErrUncertain in place of the result. Nil loses no replies.
 	LoseReply func() bool `json:"-"`
 }
 
-// Limits bounds the operations a second; 0 is no limit.
+// Limits bounds operations per second; 0 means no limit.
 type Limits struct {
 	WritesPerSecond int
 	ReadsPerSecond  int
 }
 
-// Store implements ports.Table; Objects and Hosts give the other two ports.
+// Store implements ports.Table. Objects and Hosts return its object store and host list. All
+// methods are safe for concurrent use.
 type Store struct {
 	writes *rate.Limiter
 	reads  *rate.Limiter
@@ -44,15 +44,16 @@
 	rows    map[string]ports.Row
 	objects map[string][]byte
 	hosts   ports.HostSnapshot
-	visible ports.HostSnapshot
-	lag     time.Duration
-	commits uint64
-	gets    uint64
+	// visible is the host list as readers see it, behind hosts by up to hostLag.
+	visible     ports.HostSnapshot
+	hostLag     time.Duration
+	commitCount uint64
+	readCount   uint64
 }
 
 var _ ports.Table = (*Store)(nil)
 
-// New returns an empty store.
+// New returns an empty store without faults.
 func New(l Limits) *Store {
 	return &Store{
 		writes:  limiter(l.WritesPerSecond),
@@ -69,22 +70,23 @@
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, perSecond/10))
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces all injected faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// OpCounts returns the number of transactions taken and of reads made.
+// OpCounts returns the number of transactions, conflicting ones included, and of table reads
+// that were processed.
 func (s *Store) OpCounts() (commits, reads uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.commits, s.gets
+	return s.commitCount, s.readCount
 }
 
-// enter waits as long as the platform takes and refuses during an outage.
-func (s *Store) enter(ctx context.Context, l *rate.Limiter) error {
+// admit applies the rate limit and the injected delay, and fails during an outage.
+func (s *Store) admit(ctx context.Context, l *rate.Limiter) error {
 	if err := l.Wait(ctx); err != nil {
 		return errors.Mark(err, ports.ErrUnavailable)
 	}
@@ -114,8 +116,8 @@
 	}
 }
 
-// replyLost decides whether the answer to a write that took effect is lost.
-func (s *Store) replyLost() error {
+// maybeLoseReply returns ErrUncertain if the reply to an applied write is to be lost.
+func (s *Store) maybeLoseReply() error {
 	s.mu.Lock()
 	lose := s.faults.LoseReply
 	s.mu.Unlock()
@@ -127,12 +129,12 @@
 
 // Get implements ports.Table.
 func (s *Store) Get(ctx context.Context, keys ...string) ([]ports.Row, error) {
-	if err := s.enter(ctx, s.reads); err != nil {
+	if err := s.admit(ctx, s.reads); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gets++
+	s.readCount++
 	rows := make([]ports.Row, len(keys))
 	for i, k := range keys {
 		rows[i] = s.row(k)
@@ -150,12 +152,12 @@
 
 // Scan implements ports.Table.
 func (s *Store) Scan(ctx context.Context, prefix, after string, limit int) ([]ports.Row, error) {
-	if err := s.enter(ctx, s.reads); err != nil {
+	if err := s.admit(ctx, s.reads); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.gets++
+	s.readCount++
 	var rows []ports.Row
 	for k, r := range s.rows {
 		if strings.HasPrefix(k, prefix) && k > after {
@@ -168,11 +170,11 @@
 
 // Commit implements ports.Table.
 func (s *Store) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
-	if err := s.enter(ctx, s.writes); err != nil {
+	if err := s.admit(ctx, s.writes); err != nil {
 		return ports.CommitResult{}, err
 	}
 	res := s.apply(ops)
-	if err := s.replyLost(); err != nil {
+	if err := s.maybeLoseReply(); err != nil {
 		return ports.CommitResult{}, err
 	}
 	return res, nil
@@ -181,7 +183,7 @@
 func (s *Store) apply(ops []ports.Op) ports.CommitResult {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.commits++
+	s.commitCount++
 	var conflicts []ports.Row
 	for _, op := range ops {
 		if r := s.row(op.Key); !allowed(op, r) {
@@ -197,7 +199,7 @@
 	return ports.CommitResult{Applied: true}
 }
 
-// allowed reports whether the operation's condition holds for the row.
+// allowed reports whether the row meets the operation's precondition.
 func allowed(op ports.Op, r ports.Row) bool {
 	switch op.Kind {
 	case ports.OpInsert:
@@ -228,7 +230,7 @@
 type objects struct{ *Store }
 
 func (o objects) Get(ctx context.Context, name string) ([]byte, error) {
-	if err := o.enter(ctx, o.reads); err != nil {
+	if err := o.admit(ctx, o.reads); err != nil {
 		return nil, err
 	}
 	o.mu.Lock()
@@ -237,13 +239,13 @@
 }
 
 func (o objects) Put(ctx context.Context, name string, data []byte) error {
-	if err := o.enter(ctx, o.writes); err != nil {
+	if err := o.admit(ctx, o.writes); err != nil {
 		return err
 	}
 	o.mu.Lock()
 	o.objects[name] = slices.Clone(data)
 	o.mu.Unlock()
-	return o.replyLost()
+	return o.maybeLoseReply()
 }
 
 // Hosts returns the host list.
@@ -252,7 +254,7 @@
 type hosts struct{ *Store }
 
 func (h hosts) List(ctx context.Context, known uint64) (ports.HostSnapshot, error) {
-	if err := h.enter(ctx, h.reads); err != nil {
+	if err := h.admit(ctx, h.reads); err != nil {
 		return ports.HostSnapshot{}, err
 	}
 	h.mu.Lock()
@@ -263,33 +265,35 @@
 	return ports.HostSnapshot{Version: h.visible.Version, Hosts: slices.Clone(h.visible.Hosts)}, nil
 }
 
-// SetHostLag sets how long a change to the list takes to be seen.
+// SetHostLag sets the delay before readers see a change to the host list. Changes made before
+// keep their delay.
 func (s *Store) SetHostLag(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lag = d
+	s.hostLag = d
 }
 
-// SetHosts replaces the list; readers see it after the lag.
+// SetHosts replaces the host list; readers see it after the host lag.
 func (s *Store) SetHosts(list []ports.Host) {
 	s.ChangeHosts(func([]ports.Host) []ports.Host { return list })
 }
 
-// ChangeHosts replaces the list with what f makes of a copy of it; readers see
-// it after the lag.
+// ChangeHosts replaces the host list with the result of f, which gets a copy that it may
+// modify. Readers see the change after the host lag.
 func (s *Store) ChangeHosts(f func([]ports.Host) []ports.Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hosts = ports.HostSnapshot{Version: s.hosts.Version + 1, Hosts: slices.Clone(f(slices.Clone(s.hosts.Hosts)))}
 	snap := s.hosts
-	if s.lag <= 0 {
+	if s.hostLag <= 0 {
 		s.visible = snap
 		return
 	}
-	time.AfterFunc(s.lag, func() { s.show(snap) })
+	time.AfterFunc(s.hostLag, func() { s.publish(snap) })
 }
 
-func (s *Store) show(snap ports.HostSnapshot) {
+// publish makes the snapshot visible unless a newer one already is.
+func (s *Store) publish(snap ports.HostSnapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if snap.Version > s.visible.Version {
--- a/internal/standin/store/store_test.go
+++ b/internal/standin/store/store_test.go
@@ -33,8 +33,8 @@
 	assert.Equal(t, rows[1].Version, uint64(0))
 }
 
-// The writer gets an error although its row is there: the answer was lost after
-// the write took effect, so it has to read back.
+// Guards against treating ErrUncertain as a failed write: when the reply is lost after the
+// write was applied, the writer gets an error, yet a read returns the row.
 func TestLostReplyAfterTheWriteTookEffect(t *testing.T) {
 	s := New(Limits{})
 	ctx := context.Background()
