--- a/internal/standin/target/admin.go
+++ b/internal/standin/target/admin.go
@@ -10,17 +10,17 @@
 
 // DrainRequest is the body of POST /standin/drain.
 type DrainRequest struct {
-	// Grace is how long new calls are still taken, in nanoseconds in JSON.
+	// Grace is how long new calls are still accepted, in nanoseconds in JSON.
 	Grace time.Duration `json:"grace"`
 }
 
-// Admin serves the switches. Handler mounts it under /standin; a listener of
-// its own still answers while the target is down.
+// Admin serves the control API. Handler mounts it under /standin. Served on a listener of its
+// own, it stays reachable while the target is down.
 //
-//	GET  /runs       the record of runs
+//	GET  /runs       all runs so far, as a list of Run
 //	GET  /status     Status
 //	GET  /behaviour  Behaviour
-//	PUT  /behaviour  Behaviour, replacing the present one
+//	PUT  /behaviour  Behaviour, replacing the current one
 //	POST /drain      DrainRequest
 //	POST /crash
 //	POST /restart
@@ -65,7 +65,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// readJSON decodes the body, or answers 400 and returns false.
+// readJSON decodes the body. If that fails, it responds with status 400 and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
--- a/internal/standin/target/handler.go
+++ b/internal/standin/target/handler.go
@@ -15,11 +15,11 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// maxAnswerBytes bounds the padding that a request may ask for.
+// maxAnswerBytes bounds the response padding that a request can ask for.
 const maxAnswerBytes = 64 << 20
 
-// Answer is the JSON body of an answer to a call. The padding that a request
-// asked for follows it.
+// Answer is the JSON body of the response to a call. Any padding that the request asked for
+// follows it.
 type Answer struct {
 	Target     string `json:"target"`
 	RequestID  string `json:"requestId"`
@@ -27,7 +27,7 @@
 	BodyDigest string `json:"bodyDigest"`
 }
 
-// Handler serves calls, the health endpoint, and the switches under /standin/.
+// Handler serves calls, the health endpoint, and the control API under /standin/.
 func (t *Target) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Mount("/standin", t.Admin())
@@ -36,33 +36,33 @@
 	return r
 }
 
-// serveCall runs one call, or refuses it. What the caller is not to get a whole
-// answer to is cut off by http.ErrAbortHandler.
+// serveCall runs a call or rejects it. Where the caller must not get a complete response, it
+// aborts the connection by panicking with http.ErrAbortHandler.
 func (t *Target) serveCall(w http.ResponseWriter, r *http.Request) {
-	down := t.alive()
-	if t.refusing() {
+	down := t.crashSignal()
+	if t.shedding() {
 		t.shed(w)
 		return
 	}
 	if t.Behaviour().FailFast {
-		t.tell(w.Header(), 0)
+		t.setReportHeaders(w.Header(), 0)
 		http.Error(w, "failing", http.StatusInternalServerError)
 		return
 	}
-	switch t.enter(r.Context(), down) {
-	case entryFull:
+	switch t.acquireSlot(r.Context(), down) {
+	case queueFull:
 		t.shed(w)
 		return
-	case entryGone:
+	case callerGone:
 		panic(http.ErrAbortHandler)
 	}
-	defer t.leave()
-	t.run(w, r, down)
+	defer t.releaseSlot()
+	t.runCall(w, r, down)
 }
 
-// alive returns the channel that tells of a crash; a target that is down cuts
-// the call off.
-func (t *Target) alive() chan struct{} {
+// crashSignal returns the channel that is closed when the target crashes. If the target is down
+// already, it aborts the connection.
+func (t *Target) crashSignal() chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.status.Down {
@@ -71,7 +71,7 @@
 	return t.down
 }
 
-func (t *Target) refusing() bool {
+func (t *Target) shedding() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.behaviour.Shed {
@@ -84,7 +84,7 @@
 	t.mu.Lock()
 	t.status.ShedCalls++
 	t.mu.Unlock()
-	t.tell(w.Header(), 0)
+	t.setReportHeaders(w.Header(), 0)
 	w.Header().Set(targetapi.HeaderShed, targetapi.Yes)
 	if rest := t.Behaviour().RetryAfter; rest > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
@@ -92,9 +92,9 @@
 	http.Error(w, "refused before running", http.StatusServiceUnavailable)
 }
 
-// run runs a call that holds a slot.
-func (t *Target) run(w http.ResponseWriter, r *http.Request, down chan struct{}) {
-	id := t.record.start(Run{
+// runCall runs a call that holds a slot, and records the run.
+func (t *Target) runCall(w http.ResponseWriter, r *http.Request, down chan struct{}) {
+	id := t.runs.start(Run{
 		RequestID: r.Header.Get(HeaderRequestID),
 		Key:       r.Header.Get(HeaderKey),
 		Method:    r.Method,
@@ -103,12 +103,12 @@
 		Started:   time.Now(),
 	})
 	state := RunCrashed
-	defer func() { t.record.finish(id, state, time.Now()) }()
+	defer func() { t.runs.finish(id, state, time.Now()) }()
 
 	sum := sha256.New()
 	n, err := io.Copy(sum, r.Body)
 	digest := hex.EncodeToString(sum.Sum(nil))
-	t.record.body(id, n, digest)
+	t.runs.setBody(id, n, digest)
 	if err != nil {
 		state = RunBodyBroken
 		panic(http.ErrAbortHandler)
@@ -117,15 +117,15 @@
 		t.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	state = work(r.Context(), down, t.serviceTime(r.Header))
+	state = simulateWork(r.Context(), down, t.serviceTime(r.Header))
 	if state != RunDone {
 		panic(http.ErrAbortHandler)
 	}
-	t.answer(w, r, n, digest)
+	t.writeAnswer(w, r, n, digest)
 }
 
-// work takes the service time, unless the caller or the target goes first.
-func work(ctx context.Context, down chan struct{}, d time.Duration) RunState {
+// simulateWork waits for the service time, or until the caller cancels or the target crashes.
+func simulateWork(ctx context.Context, down chan struct{}, d time.Duration) RunState {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -147,7 +147,7 @@
 	return t.times.draw(t.behaviour, time.Now())
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, n int64, digest string) {
+func (t *Target) writeAnswer(w http.ResponseWriter, r *http.Request, n int64, digest string) {
 	a := Answer{Target: string(t.opts.ID), RequestID: r.Header.Get(HeaderRequestID), BodyBytes: n, BodyDigest: digest}
 	body, err := json.Marshal(a)
 	if err != nil {
@@ -155,11 +155,11 @@
 	}
 	pad, _ := strconv.Atoi(r.Header.Get(HeaderAnswerBytes))
 	pad = min(max(pad, 0), maxAnswerBytes)
-	t.tell(w.Header(), 1)
+	t.setReportHeaders(w.Header(), 1)
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)+pad))
 	w.Header().Set(HeaderRequestID, a.RequestID)
-	// A failed write means that the caller has gone; the run is done all the same.
+	// A failed write means that the caller has disconnected; the run counts as done all the same.
 	if t.Behaviour().BreakOff {
 		_, _ = w.Write(body[:len(body)/2])
 		_ = http.NewResponseController(w).Flush()
@@ -169,7 +169,7 @@
 	_, _ = io.Copy(w, io.LimitReader(padding{}, int64(pad)))
 }
 
-// padding reads as spaces without end.
+// padding is an endless reader of spaces.
 type padding struct{}
 
 // Read fills p.
--- a/internal/standin/target/history.go
+++ b/internal/standin/target/history.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// historySize bounds the reports that are kept for a lagging endpoint.
+// historySize bounds the reports that are kept for lagging reports.
 const historySize = 4096
 
-// report is what the target could have said of itself from a moment on.
+// report is the target's state from a point in time until the next report.
 type report struct {
 	at      time.Time
 	load    int
 	leaving bool
 }
 
-// history holds past reports in order of time.
+// history holds past reports in chronological order.
 type history struct {
 	reports []report
 }
@@ -27,9 +27,9 @@
 	h.reports = append(h.reports, r)
 }
 
-// before returns the report that held at the moment, or an idle one if that is
-// before the first.
-func (h *history) before(at time.Time) report {
+// at returns the report in effect at the given time, or an idle one if that is before the first
+// report.
+func (h *history) at(at time.Time) report {
 	for _, r := range slices.Backward(h.reports) {
 		if !r.at.After(at) {
 			return r
--- a/internal/standin/target/listener.go
+++ b/internal/standin/target/listener.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// limitListener closes each connection beyond the limit as it is accepted.
+// limitListener enforces Options.MaxConns: it closes excess connections right after accept.
 type limitListener struct {
 	net.Listener
 	t *Target
 }
 
-// Accept returns the next connection that is within the limit.
+// Accept returns the next connection within the limit.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -21,12 +21,12 @@
 		if l.t.connOpened() {
 			return &countedConn{Conn: c, closed: l.t.connClosed}, nil
 		}
-		// Nothing was read from it, so nothing can be lost but the connection.
+		// Nothing has been read from the connection, so no request can have been lost.
 		_ = c.Close()
 	}
 }
 
-// connOpened counts a connection if the limit allows it.
+// connOpened counts a new connection, or reports false if the limit is reached.
 func (t *Target) connOpened() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,7 +45,7 @@
 	t.status.Conns--
 }
 
-// countedConn tells of its first Close.
+// countedConn calls closed at its first Close.
 type countedConn struct {
 	net.Conn
 	once   sync.Once
--- a/internal/standin/target/runs.go
+++ b/internal/standin/target/runs.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// RunState tells how far a run came.
+// RunState is how far a run got.
 type RunState string
 
-// States of a run. A run had its effect if it is RunDone; it may have had it if
-// it is RunCanceled or RunCrashed; a request whose body did not arrive whole
-// has no effect.
+// States of a run. A run in state RunDone has had its effect; one in RunCanceled or RunCrashed
+// may have had it. A request whose body did not arrive completely has none.
 const (
 	RunRunning    RunState = "running"
 	RunDone       RunState = "done"
@@ -19,50 +18,49 @@
 	RunBodyBroken RunState = "body-broken"
 )
 
-// Run is the record of one request that took a slot.
+// Run is the record of a request that got a slot.
 type Run struct {
 	RequestID string   `json:"requestId"`
 	Key       string   `json:"key,omitempty"`
 	Method    string   `json:"method"`
 	Path      string   `json:"path"`
 	State     RunState `json:"state"`
-	// BodyBytes and BodyDigest (SHA-256, hexadecimal) are of the body as it
-	// arrived.
+	// BodyBytes and BodyDigest (SHA-256 in hexadecimal) describe the body as received.
 	BodyBytes  int64     `json:"bodyBytes"`
 	BodyDigest string    `json:"bodyDigest"`
 	Started    time.Time `json:"started"`
 	Finished   time.Time `json:"finished,omitzero"`
 }
 
-// record keeps all runs of a target, over crashes and restarts.
-type record struct {
+// runLog holds all runs of a target, across crashes and restarts.
+type runLog struct {
 	mu   sync.Mutex
 	runs []Run
 }
 
-// start adds a run and returns its index.
-func (r *record) start(run Run) int {
+// start appends a run and returns its index.
+func (r *runLog) start(run Run) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs = append(r.runs, run)
 	return len(r.runs) - 1
 }
 
-func (r *record) body(i int, n int64, digest string) {
+func (r *runLog) setBody(i int, n int64, digest string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[i].BodyBytes = n
 	r.runs[i].BodyDigest = digest
 }
 
-func (r *record) finish(i int, s RunState, now time.Time) {
+func (r *runLog) finish(i int, s RunState, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs[i].State = s
 	r.runs[i].Finished = now
 }
 
-func (r *record) all() []Run {
+func (r *runLog) all() []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Run{}, r.runs...)
--- a/internal/standin/target/target.go
+++ b/internal/standin/target/target.go
@@ -1,7 +1,7 @@
-// Package target is a small stand-in for a target: slots with a bounded queue
-// behind them, a limit of connections, random service times, and the ways in
-// which targets misbehave, all of which can be switched while it runs. It keeps
-// a record of each run, by which tests see what really happened.
+// Package target implements a simulated target for tests and demos: an HTTP server with
+// concurrency slots, a bounded queue, a connection limit and random service times. Faults such
+// as shedding, stragglers, false health reports and crashes can be switched on while it runs. It
+// records each run, so that tests can check which calls were executed and how often.
 package target
 
 import (
@@ -14,64 +14,64 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Status is the state of the target at one moment, told truthfully.
+// Status is the true state of the target at one point in time.
 type Status struct {
 	// Load is the number of calls in flight and queued.
 	Load    int  `json:"load"`
 	Leaving bool `json:"leaving"`
 	Down    bool `json:"down"`
-	// Conns is the number of open connections, PeakConns the most there were.
+	// Conns is the number of open connections and PeakConns its maximum so far.
 	Conns     int `json:"conns"`
 	PeakConns int `json:"peakConns"`
-	// ConnsRefused, ShedCalls, Crashes and Probes count since the start.
+	// ConnsRefused, ShedCalls, Crashes and Probes are totals that survive restarts.
 	ConnsRefused int `json:"connsRefused"`
 	ShedCalls    int `json:"shedCalls"`
 	Crashes      int `json:"crashes"`
 	Probes       int `json:"probes"`
 }
 
-// Target is one stand-in. All methods are safe for concurrent use.
+// Target is a simulated target. All methods are safe for concurrent use.
 type Target struct {
-	opts   Options
-	slots  chan struct{}
-	record record
+	opts  Options
+	slots chan struct{}
+	runs  runLog
 
 	mu        sync.Mutex
 	behaviour Behaviour
-	times     *times
-	reports   history
+	times     *serviceTimes
+	history   history
 	status    Status
-	// refuseFrom is when a draining target starts to refuse.
+	// refuseFrom is when a draining target starts to shed calls.
 	refuseFrom time.Time
-	// down is closed when the target crashes and made anew when it restarts.
+	// down is closed when the target crashes, and replaced when it restarts.
 	down chan struct{}
 
 	addr     string
-	life     life
-	restarts chan life
+	current  httpInstance
+	restarts chan httpInstance
 	closed   chan struct{}
 }
 
-// life is what listens from one start to the next crash.
-type life struct {
+// httpInstance is the listener and HTTP server between a start and the next crash.
+type httpInstance struct {
 	listener net.Listener
 	server   *http.Server
 }
 
-// end closes the listener and all connections. The server goes first: a listener
-// that is closed under it looks like a fault. The second Close is for a life that
-// ended before Serve came to it. Errors say only that they
-// were closed before. The caller must not hold the target's lock, which each
-// connection takes to be counted out.
-func (l life) end() {
-	if l.server == nil {
+// close closes the server with its connections, then the listener. The server goes first
+// because Serve reports an error if its listener is closed under it. The listener is closed
+// separately for an instance that crashed before Serve picked it up. The errors are ignored:
+// they only say that something was closed already. The caller must not hold the target's lock,
+// which each connection takes when it closes.
+func (i httpInstance) close() {
+	if i.server == nil {
 		return
 	}
-	_ = l.server.Close()
-	_ = l.listener.Close()
+	_ = i.server.Close()
+	_ = i.listener.Close()
 }
 
-// New returns a target that is up but listens nowhere; see Handler and Serve.
+// New returns a target that is up but has no listener; see Handler and Serve.
 func New(o Options) *Target {
 	if o.Slots == 0 {
 		o.Slots = 1
@@ -83,39 +83,39 @@
 		opts:      o,
 		slots:     make(chan struct{}, o.Slots),
 		behaviour: o.Behaviour,
-		times:     newTimes(o.Seed, time.Now()),
+		times:     newServiceTimes(o.Seed, time.Now()),
 		down:      make(chan struct{}),
-		restarts:  make(chan life, 1),
+		restarts:  make(chan httpInstance, 1),
 		closed:    make(chan struct{}),
 	}
 }
 
-// SetBehaviour replaces the behaviour; calls that run already are not affected.
+// SetBehaviour replaces the behaviour. Calls that already run are not affected.
 func (t *Target) SetBehaviour(b Behaviour) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.behaviour = b
 }
 
-// Behaviour returns the present behaviour.
+// Behaviour returns the current behaviour.
 func (t *Target) Behaviour() Behaviour {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.behaviour
 }
 
-// Runs returns the record of all runs, in the order in which they started.
-func (t *Target) Runs() []Run { return t.record.all() }
+// Runs returns all runs in the order in which they started.
+func (t *Target) Runs() []Run { return t.runs.all() }
 
-// Status returns the true state.
+// Status returns the true state, whatever the target reports.
 func (t *Target) Status() Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.status
 }
 
-// Drain makes each answer say that the target is leaving; after the grace new
-// calls are refused as shed. What is in flight or queued is finished.
+// Drain announces in each response that the target is leaving, and sheds new calls once the
+// grace period is over. Calls in flight or queued are finished.
 func (t *Target) Drain(grace time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,11 +124,11 @@
 	}
 	t.status.Leaving = true
 	t.refuseFrom = time.Now().Add(grace)
-	t.note()
+	t.recordReport()
 }
 
-// Crash ends the target as a killed process would: all calls and connections
-// are cut off, and new connections are refused until Restart.
+// Crash simulates a killed process: all calls and connections are aborted, and new connections
+// are refused until Restart.
 func (t *Target) Crash() {
 	t.mu.Lock()
 	if t.status.Down {
@@ -138,13 +138,13 @@
 	t.status.Down = true
 	t.status.Crashes++
 	close(t.down)
-	ended := t.life
+	crashed := t.current
 	t.mu.Unlock()
-	ended.end()
+	crashed.close()
 }
 
-// Restart starts a crashed target again on its old address, cold. Connections
-// are taken from when it returns.
+// Restart restarts a crashed target on its old address, with a cold start. When it returns, the
+// target accepts connections.
 func (t *Target) Restart() error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,15 +161,15 @@
 	t.status.Down = false
 	t.status.Leaving = false
 	t.down = make(chan struct{})
-	t.times = newTimes(t.opts.Seed+uint64(t.status.Crashes), time.Now())
+	t.times = newServiceTimes(t.opts.Seed+uint64(t.status.Crashes), time.Now())
 	return nil
 }
 
-// start hands a new life to Serve, in place of one that ended before Serve came
-// to it. The caller holds the lock.
+// start passes a new instance to Serve. It replaces one that crashed before Serve picked it up.
+// The caller holds the lock.
 func (t *Target) start(l net.Listener) {
 	t.addr = l.Addr().String()
-	t.life = life{
+	t.current = httpInstance{
 		listener: l,
 		server:   &http.Server{Handler: t.Handler(), ReadHeaderTimeout: time.Minute},
 	}
@@ -177,11 +177,11 @@
 	case <-t.restarts:
 	default:
 	}
-	t.restarts <- t.life
+	t.restarts <- t.current
 }
 
-// Serve takes connections from the listener, and after a crash and restart from
-// one on the same address, until Close or Shutdown. Call it once.
+// Serve accepts connections from the listener, and after a restart from a new one on the same
+// address, until Close or Shutdown. Call it once.
 func (t *Target) Serve(l net.Listener) error {
 	t.mu.Lock()
 	t.start(l)
@@ -199,12 +199,12 @@
 	}
 }
 
-// Close ends the target at once.
+// Close stops the target at once and aborts its calls.
 func (t *Target) Close() {
-	t.markClosed().end()
+	t.markClosed().close()
 }
 
-// Shutdown ends the target after it has finished what it has, or with ctx.
+// Shutdown stops the target once its calls have finished, or when ctx ends.
 func (t *Target) Shutdown(ctx context.Context) error {
 	last := t.markClosed()
 	if last.server == nil {
@@ -213,8 +213,8 @@
 	return last.server.Shutdown(ctx)
 }
 
-// markClosed lets Serve return and gives the last life to be ended.
-func (t *Target) markClosed() life {
+// markClosed makes Serve return and returns the current instance for the caller to close.
+func (t *Target) markClosed() httpInstance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	select {
@@ -222,5 +222,5 @@
 	default:
 		close(t.closed)
 	}
-	return t.life
+	return t.current
 }
--- a/internal/standin/target/target_test.go
+++ b/internal/standin/target/target_test.go
@@ -18,12 +18,12 @@
 	"github.com/cactusproxy/cactusproxy/targetapi"
 )
 
-// call runs one request against the handler; cut is true if it was cut off.
-func call(h http.Handler, r *http.Request) (rec *httptest.ResponseRecorder, cut bool) {
+// call passes a request to the handler. aborted is true if the connection was aborted.
+func call(h http.Handler, r *http.Request) (rec *httptest.ResponseRecorder, aborted bool) {
 	rec = httptest.NewRecorder()
 	defer func() {
 		if v := recover(); v != nil {
-			cut = true
+			aborted = true
 		}
 	}()
 	h.ServeHTTP(rec, r)
@@ -44,8 +44,8 @@
 	r := httptest.NewRequest(http.MethodPost, "/lots", bytes.NewReader(body))
 	r.Header.Set(HeaderRequestID, "r7")
 	r.Header.Set(HeaderKey, "k1")
-	rec, cut := call(tg.Handler(), r)
-	assert.Check(t, !cut)
+	rec, aborted := call(tg.Handler(), r)
+	assert.Check(t, !aborted)
 	var a Answer
 	assert.NilError(t, json.Unmarshal(rec.Body.Bytes(), &a))
 	assert.Equal(t, a.RequestID, "r7")
@@ -58,8 +58,8 @@
 	assert.Equal(t, rec.Header().Get(targetapi.HeaderLoad), "0")
 }
 
-// One call runs, one waits, the third is told at once that it was not run: its
-// record holds no run of it, so the caller may send it elsewhere.
+// Guards against running a call that was shed. With one call running and one queued, the third
+// is rejected at once and leaves no run, so its caller may retry on another target.
 func TestFullQueueSheds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tg := New(Options{Slots: 1, Queue: 1, Behaviour: Behaviour{ServiceMean: time.Second}})
@@ -81,8 +81,8 @@
 	})
 }
 
-// A draining target goes on to take calls during its grace, saying each time
-// that it leaves; then it sheds. The call in flight is answered in full.
+// Guards against a drain that drops calls. During the grace period a draining target accepts
+// calls and announces that it is leaving; then it sheds. The call in flight is completed.
 func TestDrainFinishesWhatItHas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tg := New(Options{Slots: 2, Behaviour: Behaviour{ServiceMean: 5 * time.Second}})
@@ -108,26 +108,26 @@
 	})
 }
 
-// A marked request takes down the target with all that runs on it: the innocent
-// call beside it is cut off too, and nothing is answered until the restart.
+// Guards against a crash that affects only the request that caused it: a concurrent call is
+// aborted too, and nothing is served until the restart.
 func TestMarkedRequestCrashesTheTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tg := New(Options{Slots: 2, Behaviour: Behaviour{ServiceMean: time.Second}})
 		h := tg.Handler()
-		innocent := make(chan bool, 1)
+		other := make(chan bool, 1)
 		go func() {
-			_, cut := call(h, get("/"))
-			innocent <- cut
+			_, aborted := call(h, get("/"))
+			other <- aborted
 		}()
 		synctest.Wait()
-		_, cut := call(h, get("/", HeaderCrash, "1"))
-		assert.Check(t, cut)
-		assert.Check(t, <-innocent)
-		_, cut = call(h, get("/"))
-		assert.Check(t, cut)
+		_, aborted := call(h, get("/", HeaderCrash, "1"))
+		assert.Check(t, aborted)
+		assert.Check(t, <-other)
+		_, aborted = call(h, get("/"))
+		assert.Check(t, aborted)
 		assert.NilError(t, tg.Restart())
-		rec, cut := call(h, get("/"))
-		assert.Check(t, !cut && rec.Code == 200)
+		rec, aborted := call(h, get("/"))
+		assert.Check(t, !aborted && rec.Code == 200)
 		assert.Equal(t, tg.Runs()[0].State, RunCrashed)
 		assert.Equal(t, tg.Status().Crashes, 1)
 		assert.Equal(t, tg.Status().Load, 0)
@@ -163,7 +163,7 @@
 
 func TestServiceTimesAreDrawnAsAsked(t *testing.T) {
 	now := time.Now()
-	s := newTimes(1, now)
+	s := newServiceTimes(1, now)
 	b := Behaviour{ServiceMean: 5 * time.Millisecond, ServiceSigma: 0.8}
 	var sum time.Duration
 	const n = 50_000
@@ -189,8 +189,8 @@
 	assert.Equal(t, s.draw(cold, now.Add(time.Minute)), time.Millisecond)
 }
 
-// serve starts the target on loopback and ends it with the test.
-func serve(t *testing.T, o Options) (*Target, string) {
+// serveOnLoopback starts the target on loopback and ends it with the test.
+func serveOnLoopback(t *testing.T, o Options) (*Target, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -204,11 +204,10 @@
 	return tg, "http://" + l.Addr().String()
 }
 
-// The caller of the marked request sees its connection end without an answer,
-// later callers are refused the connection, and after the restart the same
-// address serves again.
+// Over real connections, the caller of the crashing request gets no response, later connections
+// are refused, and after the restart the same address serves again.
 func TestCrashAndRestartOverTCP(t *testing.T) {
-	tg, url := serve(t, Options{ID: "t1", Slots: 2})
+	tg, url := serveOnLoopback(t, Options{ID: "t1", Slots: 2})
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	req, err := http.NewRequest(http.MethodPost, url+"/", strings.NewReader("x"))
 	assert.NilError(t, err)
@@ -225,8 +224,8 @@
 	assert.Equal(t, tg.Status().Crashes, 1)
 }
 
-func TestSwitchesOverHTTP(t *testing.T) {
-	tg, url := serve(t, Options{ID: "t1"})
+func TestAdminAPIOverHTTP(t *testing.T) {
+	tg, url := serveOnLoopback(t, Options{ID: "t1"})
 	req, err := http.NewRequest(http.MethodPut, url+"/standin/behaviour", strings.NewReader(`{"failFast":true}`))
 	assert.NilError(t, err)
 	resp, err := http.DefaultClient.Do(req)
@@ -246,10 +245,10 @@
 	assert.Equal(t, strings.TrimSpace(string(body)), "[]")
 }
 
-// The second connection is closed unread; it was counted, and the first one
-// still works.
+// Guards against a connection limit that reads from the excess connection or affects the first:
+// the second connection is closed unread and counted, and the first one still works.
 func TestConnectionLimit(t *testing.T) {
-	tg, url := serve(t, Options{MaxConns: 1})
+	tg, url := serveOnLoopback(t, Options{MaxConns: 1})
 	addr := strings.TrimPrefix(url, "http://")
 	first, err := net.Dial("tcp", addr)
 	assert.NilError(t, err)
--- a/internal/standin/target/times.go
+++ b/internal/standin/target/times.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// times draws service times. It is not safe for concurrent use.
-type times struct {
+// serviceTimes draws random service times. It is not safe for concurrent use.
+type serviceTimes struct {
 	rng     *rand.Rand
 	started time.Time
-	// slowFrom and slowUntil bound the present or next slow period.
+	// slowFrom and slowUntil bound the current or next slow period.
 	slowFrom  time.Time
 	slowUntil time.Time
 }
 
-func newTimes(seed uint64, now time.Time) *times {
-	return &times{rng: rand.New(rand.NewPCG(seed, seed+1)), started: now}
+func newServiceTimes(seed uint64, now time.Time) *serviceTimes {
+	return &serviceTimes{rng: rand.New(rand.NewPCG(seed, seed+1)), started: now}
 }
 
 // draw returns the service time of a call that starts now.
-func (s *times) draw(b Behaviour, now time.Time) time.Duration {
+func (s *serviceTimes) draw(b Behaviour, now time.Time) time.Duration {
 	d := s.lognormal(b.ServiceMean, b.ServiceSigma)
 	f := s.coldFactor(b, now)
 	if b.SlowFactor > 0 {
@@ -33,7 +33,7 @@
 }
 
 // lognormal draws from the lognormal distribution with this mean and sigma.
-func (s *times) lognormal(mean time.Duration, sigma float64) time.Duration {
+func (s *serviceTimes) lognormal(mean time.Duration, sigma float64) time.Duration {
 	if sigma <= 0 {
 		return mean
 	}
@@ -41,7 +41,7 @@
 	return time.Duration(math.Exp(mu + sigma*s.rng.NormFloat64()))
 }
 
-func (s *times) coldFactor(b Behaviour, now time.Time) float64 {
+func (s *serviceTimes) coldFactor(b Behaviour, now time.Time) float64 {
 	age := now.Sub(s.started)
 	if b.ColdFactor <= 1 || age >= b.ColdStart {
 		return 1
@@ -50,7 +50,7 @@
 	return 1 + (b.ColdFactor-1)*left
 }
 
-func (s *times) straggling(g Straggle, now time.Time) bool {
+func (s *serviceTimes) straggling(g Straggle, now time.Time) bool {
 	if g.Factor <= 0 || g.Share <= 0 || g.Share >= 1 || g.Period <= 0 {
 		return false
 	}
@@ -64,9 +64,9 @@
 	return !now.Before(s.slowFrom)
 }
 
-// nextPeriod draws the pause before the next slow period, so that the slow
-// share of time comes out as asked for.
-func (s *times) nextPeriod(g Straggle) {
+// nextPeriod draws the time until the next slow period, with a mean that gives the configured
+// share of slow time.
+func (s *serviceTimes) nextPeriod(g Straggle) {
 	pause := float64(g.Period) * (1 - g.Share) / g.Share
 	s.slowFrom = s.slowUntil.Add(time.Duration(s.rng.ExpFloat64() * pause))
 	s.slowUntil = s.slowFrom.Add(g.Period)
