--- a/internal/fakes/peernet/peernet.go
+++ b/internal/fakes/peernet/peernet.go
@@ -1,6 +1,6 @@
-// Package peernet is an in-memory network of peer.Links for tests in virtual
-// time: it delays messages, also by the rate of the hosts' links, and drops those across
-// a cut.
+// Package peernet simulates the network between hosts, in memory and for tests in virtual time.
+// Each host joins and gets a Link that implements peer.Link. The network can add latency, limit
+// the bandwidth of hosts, drop messages, and block the traffic from one host to another.
 package peernet
 
 import (
@@ -13,141 +13,141 @@
 	"github.com/cactusproxy/cactusproxy/peer"
 )
 
-// Network connects the links that join it.
+// Network connects the hosts that have joined.
 type Network struct {
-	// Delay is the time one way between two hosts; nil means none. It is set
-	// before the first message.
+	// Delay is the one-way latency between two hosts; nil means none. Set it before the first
+	// message.
 	Delay func(from, to peer.HostID) time.Duration
-	// Bandwidth is what a host's link carries each way, in bytes a second; nil or 0 means any.
-	// Messages wait for each other there. It is set before the first message.
+	// Bandwidth is the capacity of a host's link in each direction, in bytes per second; nil or 0
+	// means unlimited. Messages queue for it. Set it before the first message.
 	Bandwidth func(host peer.HostID) float64
-	// OnSend, if set, hears of each message and reply as it is sent. It is set before the
-	// first message.
+	// OnSend, if set, is called for each message and reply as it is sent; size includes the
+	// framing overhead. Set it before the first message.
 	OnSend func(from, to peer.HostID, kind peer.Kind, size int)
-	// Drop, if set, tells of each message whether it is lost on its way. It is set before the
-	// first message.
+	// Drop, if set, decides for each message whether it is lost. It is not asked about replies.
+	// Set it before the first message.
 	Drop func(from, to peer.HostID, kind peer.Kind) bool
 
-	mu    sync.Mutex
-	links map[peer.HostID]*Link
-	cut   map[[2]peer.HostID]bool
-	// free is when each link has carried all that was given to it.
-	free map[side]time.Time
+	mu      sync.Mutex
+	links   map[peer.HostID]*Link
+	blocked map[[2]peer.HostID]bool
+	// busyUntil is when each link has sent all that is queued on it.
+	busyUntil map[direction]time.Time
 }
 
-// side is one direction of a host's link.
-type side struct {
+// direction is one direction of a host's link.
+type direction struct {
 	host peer.HostID
 	out  bool
 }
 
-// frameOverhead is what a message costs beyond its body, in bytes: the frame and its part
-// of the packets' headers.
+// frameOverhead is the size of a message beyond its body, in bytes: the frame and its share of
+// the packet headers.
 const frameOverhead = 60
 
-// New returns a network without links.
+// New returns a network without hosts.
 func New() *Network {
 	return &Network{
-		links: make(map[peer.HostID]*Link),
-		cut:   make(map[[2]peer.HostID]bool),
-		free:  make(map[side]time.Time),
+		links:     make(map[peer.HostID]*Link),
+		blocked:   make(map[[2]peer.HostID]bool),
+		busyUntil: make(map[direction]time.Time),
 	}
 }
 
-// Join adds a host, or replaces the link of one that was there.
+// Join adds a host and returns its link. It replaces the link of a host that joined before.
 func (n *Network) Join(id peer.HostID) *Link {
-	l := &Link{net: n, id: id, handlers: make(map[peer.Kind]peer.Handler), lost: make(map[peer.HostID]time.Time)}
+	l := &Link{net: n, id: id, handlers: make(map[peer.Kind]peer.Handler), unreachableSince: make(map[peer.HostID]time.Time)}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.links[id] = l
 	return l
 }
 
-// Leave removes a host; messages to it are lost.
+// Leave removes a host. Messages to it are lost.
 func (n *Network) Leave(id peer.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.links, id)
 }
 
-// Block drops what is sent from one host to another, in that direction only,
-// until Heal.
+// Block drops all messages from one host to another, in that direction only, until Unblock or
+// UnblockAll.
 func (n *Network) Block(from, to peer.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]peer.HostID{from, to}] = true
+	n.blocked[[2]peer.HostID{from, to}] = true
 }
 
-// Unblock ends the cut in one direction.
+// Unblock lifts the block in one direction.
 func (n *Network) Unblock(from, to peer.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cut, [2]peer.HostID{from, to})
+	delete(n.blocked, [2]peer.HostID{from, to})
 }
 
-// UnblockAll ends all cuts.
+// UnblockAll lifts all blocks.
 func (n *Network) UnblockAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.cut)
+	clear(n.blocked)
 }
 
-// route returns the receiver of a message, or nil if it is lost.
-func (n *Network) route(from, to peer.HostID) *Link {
+// receiver returns the link that gets a message, or nil if the message is lost.
+func (n *Network) receiver(from, to peer.HostID) *Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cut[[2]peer.HostID{from, to}] {
+	if n.blocked[[2]peer.HostID{from, to}] {
 		return nil
 	}
 	return n.links[to]
 }
 
-// wait takes as long as a message of some size is on its way.
-func (n *Network) wait(from, to peer.HostID, kind peer.Kind, size int) {
+// transit reports a message to OnSend and sleeps for as long as it is in transit.
+func (n *Network) transit(from, to peer.HostID, kind peer.Kind, size int) {
 	if n.OnSend != nil {
 		n.OnSend(from, to, kind, size+frameOverhead)
 	}
-	n.carry(side{host: from, out: true}, size+frameOverhead)
+	n.transmit(direction{host: from, out: true}, size+frameOverhead)
 	if n.Delay != nil {
 		time.Sleep(n.Delay(from, to))
 	}
-	n.carry(side{host: to}, size+frameOverhead)
+	n.transmit(direction{host: to}, size+frameOverhead)
 }
 
-// carry waits until a link has carried a message, behind those before it.
-func (n *Network) carry(s side, size int) {
+// transmit sleeps until a link has sent the message, after those queued before it.
+func (n *Network) transmit(s direction, size int) {
 	if n.Bandwidth == nil || n.Bandwidth(s.host) <= 0 {
 		return
 	}
 	n.mu.Lock()
 	now := time.Now()
-	begin := n.free[s]
+	begin := n.busyUntil[s]
 	if begin.Before(now) {
 		begin = now
 	}
 	done := begin.Add(time.Duration(float64(size) / n.Bandwidth(s.host) * float64(time.Second)))
-	n.free[s] = done
+	n.busyUntil[s] = done
 	n.mu.Unlock()
 	time.Sleep(done.Sub(now))
 }
 
-// Link is one host's end of the network.
+// Link is a host's connection to the network.
 type Link struct {
 	net *Network
 	id  peer.HostID
 
 	mu       sync.Mutex
 	handlers map[peer.Kind]peer.Handler
-	// lost is since when messages to a host have been lost.
-	lost map[peer.HostID]time.Time
+	// unreachableSince holds, for each host whose last message was lost, when the losses began.
+	unreachableSince map[peer.HostID]time.Time
 }
 
 var _ peer.Link = (*Link)(nil)
 
-// Self returns the host's identity.
+// Self returns the host's ID.
 func (l *Link) Self() peer.HostID { return l.id }
 
-// Handle registers a handler.
+// Handle registers the handler for a kind of message.
 func (l *Link) Handle(kind peer.Kind, h peer.Handler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -165,8 +165,8 @@
 	err  error
 }
 
-// Call delivers a request after the delay and returns the reply after another.
-// A cut in either direction leaves the caller waiting until ctx ends.
+// Call sends a request and waits for the reply. If either is lost, it waits until ctx ends and
+// returns peer.ErrNoReply.
 func (l *Link) Call(ctx context.Context, to peer.HostID, kind peer.Kind, body []byte) ([]byte, error) {
 	if ctx.Err() != nil {
 		return nil, errors.Mark(ctx.Err(), peer.ErrNotSent)
@@ -183,12 +183,12 @@
 
 func (l *Link) deliver(to peer.HostID, kind peer.Kind, body []byte, done chan<- reply) {
 	ctx := context.Background()
-	l.net.wait(l.id, to, kind, len(body))
-	dst := l.net.route(l.id, to)
+	l.net.transit(l.id, to, kind, len(body))
+	dst := l.net.receiver(l.id, to)
 	if l.net.Drop != nil && l.net.Drop(l.id, to, kind) {
 		dst = nil
 	}
-	l.note(to, dst != nil)
+	l.recordDelivery(to, dst != nil)
 	if dst == nil {
 		return
 	}
@@ -197,8 +197,8 @@
 		return
 	}
 	out, err := h(ctx, l.id, body)
-	l.net.wait(to, l.id, kind, len(out))
-	if l.net.route(to, l.id) != l {
+	l.net.transit(to, l.id, kind, len(out))
+	if l.net.receiver(to, l.id) != l {
 		return
 	}
 	if err != nil {
@@ -207,28 +207,28 @@
 	done <- reply{body: out, err: err}
 }
 
-// note remembers whether a message arrived.
-func (l *Link) note(to peer.HostID, arrived bool) {
+// recordDelivery records whether a message to a host was delivered.
+func (l *Link) recordDelivery(to peer.HostID, arrived bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if arrived {
-		delete(l.lost, to)
-	} else if l.lost[to].IsZero() {
-		l.lost[to] = time.Now()
+		delete(l.unreachableSince, to)
+	} else if l.unreachableSince[to].IsZero() {
+		l.unreachableSince[to] = time.Now()
 	}
 }
 
-// UnreachableFor returns for how long all messages to a host have been lost.
+// UnreachableFor returns for how long all messages to a host have been lost, or 0.
 func (l *Link) UnreachableFor(to peer.HostID) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lost[to].IsZero() {
+	if l.unreachableSince[to].IsZero() {
 		return 0
 	}
-	return time.Since(l.lost[to])
+	return time.Since(l.unreachableSince[to])
 }
 
-// Notify delivers a message after the delay.
+// Notify sends a message without waiting for it to be delivered.
 func (l *Link) Notify(to peer.HostID, kind peer.Kind, body []byte) bool {
 	done := make(chan reply, 1)
 	go l.deliver(to, kind, body, done)
