--- a/internal/testcluster/lab.go
+++ b/internal/testcluster/cluster.go
@@ -1,6 +1,6 @@
-// Package lab is a whole deployment in one process: the platform's stand-in,
-// entry hosts and targets, which speak to each other over loopback. The demo,
-// the scenarios and the load tool are built on it.
+// Package testcluster runs a whole deployment in one process: the simulated platform, entry
+// hosts and simulated targets, which communicate over loopback. The demo, the scenarios and the
+// load generator use it.
 package testcluster
 
 import (
@@ -27,21 +27,21 @@
 	"github.com/cactusproxy/cactusproxy/settings"
 )
 
-// Token is what operators' changes carry in a lab.
+// Token is the bearer token of operator requests in a test cluster.
 const Token = "lab-token"
 
-// Options of a Lab.
+// Options configures a Cluster.
 type Options struct {
 	Log *zap.Logger
-	// Limits of the platform's table; zero is none.
+	// Limits are the rate limits of the platform's table; zero means none.
 	Limits store.Limits
-	// Notice is how long hosts announce a stop; 200 ms if 0.
+	// Notice is how long a host announces that it is about to stop; 0 means 200 ms.
 	Notice time.Duration
 }
 
-// Cluster is one deployment. Its methods are safe for concurrent use.
+// Cluster is a deployment in one process. Its methods are safe for concurrent use.
 type Cluster struct {
-	// Store and Platform are the platform and its faults.
+	// Store holds the platform's data; Platform serves it and injects faults.
 	Store    *store.Store
 	Platform *platform.Server
 
@@ -55,7 +55,7 @@
 	targets map[string]*Target
 }
 
-// New starts the platform of a deployment without hosts and targets.
+// New starts the platform of a deployment that has no hosts or targets yet.
 func New(o Options) (*Cluster, error) {
 	if o.Log == nil {
 		o.Log = zap.NewNop()
@@ -63,33 +63,33 @@
 	if o.Notice == 0 {
 		o.Notice = 200 * time.Millisecond
 	}
-	l := &Cluster{
+	c := &Cluster{
 		opts:    o,
 		Store:   store.New(o.Limits),
 		hosts:   make(map[string]*Host),
 		targets: make(map[string]*Target),
 	}
-	l.Platform = platform.New(platform.Options{Store: l.Store})
-	if err := l.writeSecrets(); err != nil {
+	c.Platform = platform.New(platform.Options{Store: c.Store})
+	if err := c.writeSecrets(); err != nil {
 		return nil, err
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l.platformURL = "http://" + listener.Addr().String()
-	l.server = &http.Server{Handler: l.Platform.Handler(), ReadHeaderTimeout: time.Minute}
-	go func() { _ = l.server.Serve(listener) }()
-	return l, nil
+	c.platformURL = "http://" + listener.Addr().String()
+	c.server = &http.Server{Handler: c.Platform.Handler(), ReadHeaderTimeout: time.Minute}
+	go func() { _ = c.server.Serve(listener) }()
+	return c, nil
 }
 
-// writeSecrets makes the files that the hosts' settings name.
-func (l *Cluster) writeSecrets() error {
+// writeSecrets creates the secret files that the hosts' settings refer to.
+func (c *Cluster) writeSecrets() error {
 	dir, err := os.MkdirTemp("", "cactuslab")
 	if err != nil {
 		return err
 	}
-	l.dir = dir
+	c.dir = dir
 	for name, text := range map[string]string{
 		"token":   Token,
 		"peers":   "a key that all hosts of the lab share",
@@ -102,15 +102,15 @@
 	return nil
 }
 
-// PlatformURL is where the platform listens.
-func (l *Cluster) PlatformURL() string { return l.platformURL }
+// PlatformURL returns the base URL of the platform.
+func (c *Cluster) PlatformURL() string { return c.platformURL }
 
-// Close ends everything at once.
-func (l *Cluster) Close() {
-	l.mu.Lock()
-	hosts, targets := l.hosts, l.targets
-	l.hosts, l.targets = nil, nil
-	l.mu.Unlock()
+// Close stops everything at once.
+func (c *Cluster) Close() {
+	c.mu.Lock()
+	hosts, targets := c.hosts, c.targets
+	c.hosts, c.targets = nil, nil
+	c.mu.Unlock()
 	for _, h := range hosts {
 		h.Abort()
 	}
@@ -120,8 +120,8 @@
 	for _, h := range hosts {
 		<-h.done
 	}
-	_ = l.server.Close()
-	_ = os.RemoveAll(l.dir)
+	_ = c.server.Close()
+	_ = os.RemoveAll(c.dir)
 }
 
 // Host is an entry host.
@@ -133,13 +133,13 @@
 	err    error
 }
 
-// AddHost starts an entry host and lists it.
-func (l *Cluster) AddHost(id, zone string) (*Host, error) {
-	s, err := settings.Parse(id, l.settingsOf(id, zone))
+// AddHost starts an entry host and adds it to the platform's host list.
+func (c *Cluster) AddHost(id, zone string) (*Host, error) {
+	s, err := settings.Parse(id, c.hostSettings(id, zone))
 	if err != nil {
 		return nil, err
 	}
-	d, err := cactusproxy.New(s, cactusproxy.WithLog(l.opts.Log))
+	d, err := cactusproxy.New(s, cactusproxy.WithLog(c.opts.Log))
 	if err != nil {
 		return nil, err
 	}
@@ -149,17 +149,17 @@
 		defer close(h.done)
 		h.err = d.Run(ctx)
 	}()
-	l.mu.Lock()
-	l.hosts[id] = h
-	l.mu.Unlock()
-	l.list(ports.Host{
+	c.mu.Lock()
+	c.hosts[id] = h
+	c.mu.Unlock()
+	c.addToList(ports.Host{
 		ID: ports.HostID(id), Role: ports.RoleEntry, State: ports.HostLive,
 		Zone: zone, Addr: d.CallersAddr(), PeerAddr: d.PeersAddr(),
 	})
 	return h, nil
 }
 
-func (l *Cluster) settingsOf(id, zone string) []byte {
+func (c *Cluster) hostSettings(id, zone string) []byte {
 	return fmt.Appendf(nil, `{
 		"host": {"id": %q, "zone": %q},
 		"callers": {"addr": "127.0.0.1:0"},
@@ -168,82 +168,82 @@
 		"keys": {"file": %q},
 		"platform": {"url": %q, "timeout": "1s"},
 		"drain": {"notice": %q, "limit": "5m"},
-	}`, id, zone, l.file("token"), l.file("peers"), l.file("cluster"), l.platformURL, l.opts.Notice)
+	}`, id, zone, c.path("token"), c.path("peers"), c.path("cluster"), c.platformURL, c.opts.Notice)
 }
 
-func (l *Cluster) file(name string) string { return filepath.Join(l.dir, name) }
+func (c *Cluster) path(name string) string { return filepath.Join(c.dir, name) }
 
-// Stop stops a host gracefully and returns what its run returned.
-func (l *Cluster) Stop(id string) error {
-	h, err := l.Host(id)
+// Stop stops a host gracefully and returns the error of its Run.
+func (c *Cluster) Stop(id string) error {
+	h, err := c.Host(id)
 	if err != nil {
 		return err
 	}
 	h.cancel()
 	<-h.done
-	l.unlist(id)
-	l.mu.Lock()
-	delete(l.hosts, id)
-	l.mu.Unlock()
+	c.removeFromList(id)
+	c.mu.Lock()
+	delete(c.hosts, id)
+	c.mu.Unlock()
 	return h.err
 }
 
-// Kill ends a host at once, as a crash would; the platform still lists it.
-func (l *Cluster) Kill(id string) error {
-	h, err := l.Host(id)
+// Kill stops a host at once, as in a crash. The platform still lists it.
+func (c *Cluster) Kill(id string) error {
+	h, err := c.Host(id)
 	if err != nil {
 		return err
 	}
 	h.Abort()
 	<-h.done
-	l.mu.Lock()
-	delete(l.hosts, id)
-	l.mu.Unlock()
+	c.mu.Lock()
+	delete(c.hosts, id)
+	c.mu.Unlock()
 	return nil
 }
 
 // Host returns a host by its ID.
-func (l *Cluster) Host(id string) (*Host, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if h := l.hosts[id]; h != nil {
+func (c *Cluster) Host(id string) (*Host, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if h := c.hosts[id]; h != nil {
 		return h, nil
 	}
 	return nil, errors.Newf("no host %q", id)
 }
 
-// HostIDs returns the IDs of the hosts that run, sorted.
-func (l *Cluster) HostIDs() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Sorted(maps.Keys(l.hosts))
+// HostIDs returns the IDs of the running hosts, sorted.
+func (c *Cluster) HostIDs() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Sorted(maps.Keys(c.hosts))
 }
 
 // Targets returns all targets, in no particular order.
-func (l *Cluster) Targets() []*Target {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return slices.Collect(maps.Values(l.targets))
+func (c *Cluster) Targets() []*Target {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Collect(maps.Values(c.targets))
 }
 
-// Target is a target's stand-in.
+// Target is a simulated target.
 type Target struct {
 	*target.Target
 	ID       string
 	Addr     string
 	listener net.Listener
 
-	seen atomic.Int64
+	reported atomic.Int64
 }
 
-// RunsSinceLast returns the number of runs begun since the last call of it.
+// RunsSinceLast returns the number of runs started since the previous call to it.
 func (t *Target) RunsSinceLast() int {
 	n := int64(len(t.Runs()))
-	return int(n - t.seen.Swap(n))
+	return int(n - t.reported.Swap(n))
 }
 
-// AddTarget starts a target and lists it.
-func (l *Cluster) AddTarget(id, zone, workspace, service string, o target.Options) (*Target, error) {
+// AddTarget starts a target and adds it to the platform's host list.
+func (c *Cluster) AddTarget(id, zone, workspace, service string, o target.Options) (*Target, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -251,10 +251,10 @@
 	o.ID = ports.HostID(id)
 	t := &Target{Target: target.New(o), ID: id, Addr: listener.Addr().String(), listener: listener}
 	go func() { _ = t.Serve(listener) }()
-	l.mu.Lock()
-	l.targets[id] = t
-	l.mu.Unlock()
-	l.list(ports.Host{
+	c.mu.Lock()
+	c.targets[id] = t
+	c.mu.Unlock()
+	c.addToList(ports.Host{
 		ID: ports.HostID(id), Role: ports.RoleTarget, State: ports.HostLive,
 		Zone: zone, Addr: t.Addr, Workspace: workspace, Service: service,
 	})
@@ -262,26 +262,26 @@
 }
 
 // Target returns a target by its ID.
-func (l *Cluster) Target(id string) (*Target, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if t := l.targets[id]; t != nil {
+func (c *Cluster) Target(id string) (*Target, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if t := c.targets[id]; t != nil {
 		return t, nil
 	}
 	return nil, errors.Newf("no target %q", id)
 }
 
-// ListTargets adds targets to the platform's list that do not run.
-func (l *Cluster) ListTargets(targets []ports.Host) {
-	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host { return append(list, targets...) })
+// ListTargets adds targets to the platform's host list that do not run.
+func (c *Cluster) ListTargets(targets []ports.Host) {
+	c.Store.ChangeHosts(func(list []ports.Host) []ports.Host { return append(list, targets...) })
 }
 
-func (l *Cluster) list(h ports.Host) {
-	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host { return append(list, h) })
+func (c *Cluster) addToList(h ports.Host) {
+	c.Store.ChangeHosts(func(list []ports.Host) []ports.Host { return append(list, h) })
 }
 
-func (l *Cluster) unlist(id string) {
-	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host {
+func (c *Cluster) removeFromList(id string) {
+	c.Store.ChangeHosts(func(list []ports.Host) []ports.Host {
 		kept := list[:0]
 		for _, h := range list {
 			if string(h.ID) != id {
@@ -292,9 +292,9 @@
 	})
 }
 
-// MarkLeaving marks a host or target as leaving in the platform's list.
-func (l *Cluster) MarkLeaving(id string) {
-	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host {
+// MarkLeaving marks a host or target as leaving in the platform's host list.
+func (c *Cluster) MarkLeaving(id string) {
+	c.Store.ChangeHosts(func(list []ports.Host) []ports.Host {
 		for i := range list {
 			if string(list[i].ID) == id {
 				list[i].State = ports.HostLeaving
--- a/internal/testcluster/wait.go
+++ b/internal/testcluster/wait.go
@@ -17,11 +17,11 @@
 	"github.com/cactusproxy/cactusproxy/operator/client"
 )
 
-// pollInterval is the time between two looks at a condition.
+// pollInterval is the time between two checks of a condition.
 const pollInterval = 5 * time.Millisecond
 
-// Wait returns once a condition holds, or with an error that names it when ctx
-// ends.
+// Wait polls until the condition holds. If ctx ends first, it returns an error that names what
+// was waited for.
 func Wait(ctx context.Context, what string, holds func() bool) error {
 	for !holds() {
 		select {
@@ -33,19 +33,18 @@
 	return nil
 }
 
-// WaitReady returns once a host takes calls.
-func (l *Cluster) WaitReady(ctx context.Context, id string) error {
-	h, err := l.Host(id)
+// WaitReady waits until a host is ready for calls.
+func (c *Cluster) WaitReady(ctx context.Context, id string) error {
+	h, err := c.Host(id)
 	if err != nil {
 		return err
 	}
 	return Wait(ctx, "host "+id+" to be ready", func() bool { return h.Board().Status.Load().Ready() })
 }
 
-// WaitTargets returns once a host knows a number of targets of a service that
-// take new calls.
-func (l *Cluster) WaitTargets(ctx context.Context, host, workspace, service string, n int) error {
-	h, err := l.Host(host)
+// WaitTargets waits until a host knows exactly n targets of a service that are not leaving.
+func (c *Cluster) WaitTargets(ctx context.Context, host, workspace, service string, n int) error {
+	h, err := c.Host(host)
 	if err != nil {
 		return err
 	}
@@ -61,34 +60,34 @@
 	})
 }
 
-// WaitMembers returns once a host sees a number of live entry hosts.
-func (l *Cluster) WaitMembers(ctx context.Context, host string, n int) error {
-	h, err := l.Host(host)
+// WaitMembers waits until a host sees exactly n live entry hosts, itself included.
+func (c *Cluster) WaitMembers(ctx context.Context, host string, n int) error {
+	h, err := c.Host(host)
 	if err != nil {
 		return err
 	}
 	return Wait(ctx, "entry hosts", func() bool { return len(h.Board().Members.Load().Eligible()) == n })
 }
 
-// Operators returns the operators' client of a host.
+// Operators returns a client for the host's operator API.
 func (h *Host) Operators() *client.Client {
 	return &client.Client{Addr: h.OperatorsAddr(), Token: Token}
 }
 
-// Apply is ApplyFS with files of this machine.
-func (l *Cluster) Apply(ctx context.Context, host, templateFile, workspaceFile string) (operator.ChangeReply, error) {
-	return l.ApplyFS(ctx, host, osFiles{}, templateFile, workspaceFile)
+// Apply is ApplyFS with files of the local file system.
+func (c *Cluster) Apply(ctx context.Context, host, templateFile, workspaceFile string) (operator.ChangeReply, error) {
+	return c.ApplyFS(ctx, host, osFiles{}, templateFile, workspaceFile)
 }
 
-// osFiles opens files by any path, those outside the folder of the process included.
+// osFiles opens files by any path, also outside the working directory.
 type osFiles struct{}
 
 // Open implements fs.FS.
 func (osFiles) Open(name string) (fs.File, error) { return os.Open(name) }
 
-// ApplyFS applies a workspace and its template, given as files, through a host and
-// waits until it is in force on every host.
-func (l *Cluster) ApplyFS(ctx context.Context, host string, files fs.FS, templateFile, workspaceFile string) (operator.ChangeReply, error) {
+// ApplyFS applies a workspace and its template from files through a host, and waits until the
+// change is in effect on every host.
+func (c *Cluster) ApplyFS(ctx context.Context, host string, files fs.FS, templateFile, workspaceFile string) (operator.ChangeReply, error) {
 	template, err := fs.ReadFile(files, templateFile)
 	if err != nil {
 		return operator.ChangeReply{}, err
@@ -97,13 +96,13 @@
 	if err != nil {
 		return operator.ChangeReply{}, err
 	}
-	return l.ApplyText(ctx, host, config.File{Name: templateFile, Text: string(template)}, config.File{Name: workspaceFile, Text: string(workspace)}, nil)
+	return c.ApplyText(ctx, host, config.File{Name: templateFile, Text: string(template)}, config.File{Name: workspaceFile, Text: string(workspace)}, nil)
 }
 
-// ApplyText is Apply with the text of the files, against a version of the
-// workspace; nil is the present one.
-func (l *Cluster) ApplyText(ctx context.Context, host string, template, workspace config.File, base *uint64) (operator.ChangeReply, error) {
-	h, err := l.Host(host)
+// ApplyText is ApplyFS with the contents of the files. base is the version of the workspace that
+// the change is based on; nil means the current one.
+func (c *Cluster) ApplyText(ctx context.Context, host string, template, workspace config.File, base *uint64) (operator.ChangeReply, error) {
+	h, err := c.Host(host)
 	if err != nil {
 		return operator.ChangeReply{}, err
 	}
@@ -125,7 +124,7 @@
 	})
 }
 
-// Response is what a caller got.
+// Response is the response that a caller received.
 type Response struct {
 	Status  int
 	Outcome string
@@ -135,7 +134,7 @@
 	Took    time.Duration
 }
 
-// Do sends a request and reads the whole answer.
+// Do sends a request and reads the complete response.
 func Do(c *http.Client, req *http.Request) (Response, error) {
 	start := time.Now()
 	resp, err := c.Do(req)
