--- a/internal/simcluster/lab.go
+++ b/internal/simcluster/cluster.go
@@ -20,11 +20,10 @@
 	"github.com/cactusproxy/cactusproxy/settings"
 )
 
-// Cluster is one deployment in virtual time. It is used from one goroutine, but for
-// Call, which may be used from many.
+// Cluster is a deployment in virtual time. Only Call may be used from several goroutines at once.
 type Cluster struct {
 	Store *store.Store
-	// Table is what hosts that start later get for their table.
+	// Table is the table that hosts started from now on use.
 	Table ports.Table
 	Net   *peernet.Network
 	Fleet *Fleet
@@ -40,8 +39,8 @@
 	done   chan error
 }
 
-// peerDelay and storeDelay are the times one way between hosts, and for an
-// operation of the platform.
+// peerDelay is the one-way latency between hosts, and storeDelay the duration of an operation of
+// the platform.
 const (
 	peerDelay  = 500 * time.Microsecond
 	storeDelay = 5 * time.Millisecond
@@ -49,21 +48,21 @@
 
 // New returns a deployment without hosts. keyFile holds the cluster key.
 func New(keyFile string) *Cluster {
-	l := &Cluster{
+	c := &Cluster{
 		Store:   store.New(store.Limits{}),
 		Net:     peernet.New(),
 		Fleet:   NewFleet(5 * time.Millisecond),
 		keyFile: keyFile,
 		hosts:   make(map[string]*host),
 	}
-	l.Table = l.Store
-	l.Net.Delay = func(ports.HostID, ports.HostID) time.Duration { return peerDelay }
-	l.Store.SetFaults(store.Faults{Delay: storeDelay})
-	return l
+	c.Table = c.Store
+	c.Net.Delay = func(ports.HostID, ports.HostID) time.Duration { return peerDelay }
+	c.Store.SetFaults(store.Faults{Delay: storeDelay})
+	return c
 }
 
-// Start starts an entry host and lists it.
-func (l *Cluster) Start(id string) error {
+// Start starts an entry host and adds it to the host list.
+func (c *Cluster) Start(id string) error {
 	s, err := settings.Parse(id, fmt.Appendf(nil, `{
 		"host": {"id": %q, "zone": "zone-a"},
 		"callers": {"addr": "127.0.0.1:1"},
@@ -72,15 +71,15 @@
 		"keys": {"file": %q},
 		"platform": {"url": "http://127.0.0.1:1"},
 		"drain": {"notice": "1s"},
-	}`, id, l.keyFile))
+	}`, id, c.keyFile))
 	if err != nil {
 		return err
 	}
 	d, err := cactusproxy.New(s,
-		cactusproxy.WithLink(l.Net.Join(ports.HostID(id))),
-		cactusproxy.WithPlatform(cactusproxy.Platform{Table: l.Table, Objects: l.Store.Objects(), Hosts: l.Store.Hosts()}),
-		cactusproxy.WithUpstream(l.Fleet),
-		cactusproxy.WithProber(l.Fleet.Probe),
+		cactusproxy.WithLink(c.Net.Join(ports.HostID(id))),
+		cactusproxy.WithPlatform(cactusproxy.Platform{Table: c.Table, Objects: c.Store.Objects(), Hosts: c.Store.Hosts()}),
+		cactusproxy.WithUpstream(c.Fleet),
+		cactusproxy.WithProber(c.Fleet.Probe),
 	)
 	if err != nil {
 		return err
@@ -88,108 +87,108 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	h := &host{daemon: d, stop: cancel, done: make(chan error, 1)}
 	go func() { h.done <- d.Run(ctx) }()
-	l.mu.Lock()
-	l.hosts[id] = h
-	l.mu.Unlock()
-	l.list(ports.Host{ID: ports.HostID(id), Role: ports.RoleEntry, State: ports.HostLive, Zone: "zone-a", Addr: "127.0.0.1:1", PeerAddr: "127.0.0.1:1"})
+	c.mu.Lock()
+	c.hosts[id] = h
+	c.mu.Unlock()
+	c.addToList(ports.Host{ID: ports.HostID(id), Role: ports.RoleEntry, State: ports.HostLive, Zone: "zone-a", Addr: "127.0.0.1:1", PeerAddr: "127.0.0.1:1"})
 	return nil
 }
 
-// Crash ends a host as a crash would. The platform still lists it for a while.
-func (l *Cluster) Crash(id string) {
-	h := l.remove(id)
+// Crash stops a host abruptly. The platform still lists it until its run has ended.
+func (c *Cluster) Crash(id string) {
+	h := c.remove(id)
 	if h == nil {
 		return
 	}
-	l.Net.Leave(ports.HostID(id))
+	c.Net.Leave(ports.HostID(id))
 	h.daemon.Abort()
 	<-h.done
 	h.stop()
-	l.unlist(id)
+	c.removeFromList(id)
 }
 
 // Stop stops a host gracefully.
-func (l *Cluster) Stop(id string) error {
-	h := l.remove(id)
+func (c *Cluster) Stop(id string) error {
+	h := c.remove(id)
 	if h == nil {
 		return nil
 	}
 	h.stop()
 	err := <-h.done
-	l.Net.Leave(ports.HostID(id))
-	l.unlist(id)
+	c.Net.Leave(ports.HostID(id))
+	c.removeFromList(id)
 	return err
 }
 
-func (l *Cluster) remove(id string) *host {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	h := l.hosts[id]
-	delete(l.hosts, id)
+func (c *Cluster) remove(id string) *host {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	h := c.hosts[id]
+	delete(c.hosts, id)
 	return h
 }
 
-// drain is the time in which messages under way arrive or are lost.
-const drain = 10 * time.Second
+// deliveryTime is enough for messages in transit to arrive or be lost.
+const deliveryTime = 10 * time.Second
 
-// Close ends all hosts and lets the messages between them run out.
-func (l *Cluster) Close() {
-	for _, id := range l.Hosts() {
-		l.Crash(id)
+// Close stops all hosts and waits for the messages between them.
+func (c *Cluster) Close() {
+	for _, id := range c.Hosts() {
+		c.Crash(id)
 	}
-	time.Sleep(drain)
+	time.Sleep(deliveryTime)
 }
 
-// Hosts returns the IDs of the hosts that run, sorted.
-func (l *Cluster) Hosts() []string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Hosts returns the IDs of the running hosts, sorted.
+func (c *Cluster) Hosts() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var ids []string
-	for id := range l.hosts {
+	for id := range c.hosts {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// Daemon returns a host that runs, or nil.
-func (l *Cluster) Daemon(id string) *cactusproxy.Daemon {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if h := l.hosts[id]; h != nil {
+// Daemon returns a running host, or nil.
+func (c *Cluster) Daemon(id string) *cactusproxy.Daemon {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if h := c.hosts[id]; h != nil {
 		return h.daemon
 	}
 	return nil
 }
 
-// AddTarget lists a target.
-func (l *Cluster) AddTarget(id, workspace, service string) {
-	l.list(ports.Host{
+// AddTarget adds a target to the host list.
+func (c *Cluster) AddTarget(id, workspace, service string) {
+	c.addToList(ports.Host{
 		ID: ports.HostID(id), Role: ports.RoleTarget, State: ports.HostLive, Zone: "zone-a",
 		Addr: "127.0.0.1:1", Workspace: workspace, Service: service,
 	})
 }
 
-func (l *Cluster) list(h ports.Host) {
-	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host { return append(list, h) })
+func (c *Cluster) addToList(h ports.Host) {
+	c.Store.ChangeHosts(func(list []ports.Host) []ports.Host { return append(list, h) })
 }
 
-func (l *Cluster) unlist(id string) {
-	l.Store.ChangeHosts(func(list []ports.Host) []ports.Host {
+func (c *Cluster) removeFromList(id string) {
+	c.Store.ChangeHosts(func(list []ports.Host) []ports.Host {
 		return slices.DeleteFunc(list, func(h ports.Host) bool { return string(h.ID) == id })
 	})
 }
 
-// Apply commits a change through a host.
-func (l *Cluster) Apply(ctx context.Context, id string, req config.ApplyRequest) config.Outcome {
-	d := l.Daemon(id)
+// Apply applies a configuration change through a host.
+func (c *Cluster) Apply(ctx context.Context, id string, req config.ApplyRequest) config.Outcome {
+	d := c.Daemon(id)
 	if d == nil {
 		return config.Outcome{Result: config.ResultUnavailable}
 	}
 	return d.Apply(ctx, req)
 }
 
-// Request is one call of a caller.
+// Request is a call to make.
 type Request struct {
 	Host   string
 	Method string
@@ -199,7 +198,7 @@
 	Body   string
 }
 
-// Reply is what the caller got. A zero Outcome means that the connection broke.
+// Reply is the response to a call. A zero Outcome means that the connection was aborted.
 type Reply struct {
 	Outcome outcome.Outcome
 	Reason  outcome.Reason
@@ -213,10 +212,10 @@
 	outcome.Unknown.String():  outcome.Unknown,
 }
 
-// Call makes a call and waits for its reply. A call through a host that is gone,
-// or that goes meanwhile, breaks.
-func (l *Cluster) Call(req Request) Reply {
-	d := l.Daemon(req.Host)
+// Call makes a call and waits for the response. If the host is not running or stops meanwhile,
+// the result is an aborted connection.
+func (c *Cluster) Call(req Request) Reply {
+	d := c.Daemon(req.Host)
 	if d == nil {
 		return Reply{}
 	}
@@ -226,7 +225,7 @@
 		r.Header.Set(target.HeaderKey, req.Key)
 	}
 	w := httptest.NewRecorder()
-	if broke := serve(d.Handler(), w, r); broke || l.Daemon(req.Host) != d {
+	if aborted := serve(d.Handler(), w, r); aborted || c.Daemon(req.Host) != d {
 		return Reply{}
 	}
 	return Reply{
@@ -237,14 +236,14 @@
 	}
 }
 
-// serve reports whether the handler broke the caller's connection off.
-func serve(h http.Handler, w http.ResponseWriter, r *http.Request) (broke bool) {
+// serve passes a request to the handler and reports whether it aborted the connection.
+func serve(h http.Handler, w http.ResponseWriter, r *http.Request) (aborted bool) {
 	defer func() {
 		if v := recover(); v != nil {
 			if v != http.ErrAbortHandler {
 				panic(v)
 			}
-			broke = true
+			aborted = true
 		}
 	}()
 	h.ServeHTTP(w, r)
--- a/internal/simcluster/target.go
+++ b/internal/simcluster/target.go
@@ -1,6 +1,6 @@
-// Package vlab puts whole daemons between fakes of everything they talk to, in
-// virtual time: an in-memory platform and network of peers, and targets behind
-// the round trip. It is for randomised runs inside a testing/synctest bubble.
+// Package simcluster runs complete daemons in virtual time, inside a testing/synctest bubble, for
+// randomized tests. All their dependencies are fakes: the platform and the peer network are in
+// memory, and the targets are simulated behind upstream.RoundTripper.
 package simcluster
 
 import (
@@ -20,23 +20,23 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// State is what a fake target does with the calls that reach it.
+// State is how a simulated target handles calls.
 type State uint8
 
 // States of a target.
 const (
 	Up State = iota
-	// Down targets take no connection.
+	// Down targets refuse connections.
 	Down
-	// Shedding targets refuse each call before running it.
+	// Shedding targets reject each call before running it.
 	Shedding
-	// Draining targets run what comes and say that they are leaving.
+	// Draining targets run calls and announce that they are leaving.
 	Draining
-	// Aborting targets run the call and break the connection off.
+	// Aborting targets run the call and abort the connection without a response.
 	Aborting
 )
 
-// Run is one run of a call at a target.
+// Run is the execution of a call on a target.
 type Run struct {
 	Target ports.HostID
 	Key    string
@@ -44,9 +44,9 @@
 	At     time.Time
 }
 
-// Fleet is all fake targets. It sends attempts as upstream.Pools would.
+// Fleet simulates all targets. Its RoundTrip takes the place of upstream.Pools.
 type Fleet struct {
-	// Service is how long a call runs.
+	// Service is the service time of a call.
 	Service time.Duration
 
 	mu     sync.Mutex
@@ -56,7 +56,7 @@
 
 var _ upstream.RoundTripper = (*Fleet)(nil)
 
-// NewFleet returns targets that are all up.
+// NewFleet returns a fleet in which every target is up.
 func NewFleet(service time.Duration) *Fleet {
 	return &Fleet{Service: service, states: make(map[ports.HostID]State)}
 }
@@ -68,17 +68,17 @@
 	f.states[id] = s
 }
 
-// Runs returns all runs so far.
+// Runs returns all runs so far, in the order in which the targets took them.
 func (f *Fleet) Runs() []Run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]Run(nil), f.runs...)
 }
 
-// errConnection is what a connection that breaks gives.
+// errConnection is the error of an attempt whose connection is refused or aborted.
 var errConnection = errors.New("connection broken")
 
-// connectDelay is how long a new connection takes, or its refusal.
+// connectDelay is how long it takes to establish a connection or to see it refused.
 const connectDelay = time.Millisecond
 
 // RoundTrip implements upstream.RoundTripper.
@@ -102,7 +102,7 @@
 	return upstream.Result{Sent: true, Response: answer(req, state)}
 }
 
-// arrive records the run of a call that the target takes.
+// arrive returns the target's state, and records a run if the target takes the call.
 func (f *Fleet) arrive(req *http.Request, id ports.HostID) State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,10 +118,10 @@
 	return s
 }
 
-// probeTime is how long a probe takes.
+// probeTime is the duration of a health probe.
 const probeTime = 6 * time.Millisecond
 
-// Probe answers a probe as the target's health endpoint would.
+// Probe returns the result of probing the target's health endpoint.
 func (f *Fleet) Probe(ctx context.Context, t blackboard.Target, _ string) probes.Result {
 	select {
 	case <-time.After(probeTime):
@@ -147,7 +147,8 @@
 	return response(http.StatusServiceUnavailable, http.Header{targetapi.HeaderShed: {targetapi.Yes}}, "")
 }
 
-// answer tells which request it belongs to, so that a caller can check.
+// answer returns a response with the request's ID as its body, so that a caller can check that
+// it got its own response.
 func answer(req *http.Request, s State) *http.Response {
 	h := http.Header{}
 	if s == Draining {
