--- a/internal/scenario/deployment.go
+++ b/internal/scenario/deployment.go
@@ -15,49 +15,49 @@
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 )
 
-// cmdHosts starts entry hosts entry-1 to entry-n, in zones a, b and c, and waits
-// until all see each other and are ready.
+// cmdHosts starts entry hosts entry-1 to entry-n, in zones a, b and c in turn, and waits until
+// they are ready and see each other.
 //
 //	hosts n
-func cmdHosts(ts *testscript.TestScript, w *world, args []string) {
-	need(ts, args, 1, "hosts n")
+func cmdHosts(ts *testscript.TestScript, d *deployment, args []string) {
+	requireArgs(ts, args, 1, "hosts n")
 	n := number(ts, args[0])
 	for i := range n {
-		_, err := w.lab.AddHost(hostID(i), "zone-"+string(rune('a'+i%3)))
+		_, err := d.cluster.AddHost(hostID(i), "zone-"+string(rune('a'+i%3)))
 		ts.Check(err)
 	}
 	for i := range n {
-		ts.Check(w.lab.WaitMembers(w.ctx, hostID(i), n))
-		ts.Check(w.lab.WaitReady(w.ctx, hostID(i)))
+		ts.Check(d.cluster.WaitMembers(d.ctx, hostID(i), n))
+		ts.Check(d.cluster.WaitReady(d.ctx, hostID(i)))
 	}
 }
 
 // cmdHost starts one more entry host.
 //
 //	host id zone
-func cmdHost(ts *testscript.TestScript, w *world, args []string) {
-	need(ts, args, 2, "host id zone")
-	_, err := w.lab.AddHost(args[0], args[1])
+func cmdHost(ts *testscript.TestScript, d *deployment, args []string) {
+	requireArgs(ts, args, 2, "host id zone")
+	_, err := d.cluster.AddHost(args[0], args[1])
 	ts.Check(err)
 }
 
 func hostID(i int) string { return fmt.Sprintf("entry-%d", i+1) }
 
-// cmdStop stops hosts gracefully and fails if one of them does not end well.
+// cmdStop stops hosts gracefully, and fails if one of them returns an error.
 //
 //	stop host...
-func cmdStop(ts *testscript.TestScript, w *world, args []string) {
+func cmdStop(ts *testscript.TestScript, d *deployment, args []string) {
 	for _, id := range args {
-		ts.Check(w.lab.Stop(id))
+		ts.Check(d.cluster.Stop(id))
 	}
 }
 
-// cmdCrash ends hosts as a crash would.
+// cmdCrash stops hosts abruptly, as in a crash.
 //
 //	crash host...
-func cmdCrash(ts *testscript.TestScript, w *world, args []string) {
+func cmdCrash(ts *testscript.TestScript, d *deployment, args []string) {
 	for _, id := range args {
-		ts.Check(w.lab.Kill(id))
+		ts.Check(d.cluster.Kill(id))
 	}
 }
 
@@ -65,8 +65,8 @@
 // until every host knows them.
 //
 //	targets workspace/service n [slots=2] [queue=16] [mean=1ms]
-func cmdTargets(ts *testscript.TestScript, w *world, args []string) {
-	need(ts, args, 2, "targets workspace/service n [slots=2] [queue=16] [mean=1ms]")
+func cmdTargets(ts *testscript.TestScript, d *deployment, args []string) {
+	requireArgs(ts, args, 2, "targets workspace/service n [slots=2] [queue=16] [mean=1ms]")
 	workspace, service, _ := strings.Cut(args[0], "/")
 	n := number(ts, args[1])
 	opts, _ := options(args[2:])
@@ -85,26 +85,26 @@
 	for i := range n {
 		o.Seed = uint64(i)
 		id := fmt.Sprintf("%s-%d", service, i+1)
-		_, err := w.lab.AddTarget(id, "zone-"+string(rune('a'+i%3)), workspace, service, o)
+		_, err := d.cluster.AddTarget(id, "zone-"+string(rune('a'+i%3)), workspace, service, o)
 		ts.Check(err)
 	}
-	for _, id := range w.lab.HostIDs() {
-		ts.Check(w.lab.WaitTargets(w.ctx, id, workspace, service, n))
+	for _, id := range d.cluster.HostIDs() {
+		ts.Check(d.cluster.WaitTargets(d.ctx, id, workspace, service, n))
 	}
 }
 
-// cmdTarget changes one target.
+// cmdTarget changes the behaviour or state of a target.
 //
 //	target id behave {"failFast": true}   see target.Behaviour
 //	target id crash | restart | drain
 //	target id leave                       mark it as leaving in the list
-func cmdTarget(ts *testscript.TestScript, w *world, args []string) {
-	need(ts, args, 2, "target id behave|crash|restart|drain|leave")
-	t, err := w.lab.Target(args[0])
+func cmdTarget(ts *testscript.TestScript, d *deployment, args []string) {
+	requireArgs(ts, args, 2, "target id behave|crash|restart|drain|leave")
+	t, err := d.cluster.Target(args[0])
 	ts.Check(err)
 	switch args[1] {
 	case "behave":
-		need(ts, args, 3, "target id behave json")
+		requireArgs(ts, args, 3, "target id behave json")
 		var b target.Behaviour
 		ts.Check(json.Unmarshal([]byte(args[2]), &b))
 		t.SetBehaviour(b)
@@ -115,29 +115,29 @@
 	case "drain":
 		t.Drain(time.Hour)
 	case "leave":
-		w.lab.MarkLeaving(args[0])
+		d.cluster.MarkLeaving(args[0])
 	default:
 		ts.Fatalf("target: unknown change %q", args[1])
 	}
 }
 
-// cmdApply applies an example deployment, or a template and workspace from the
-// script, through entry-1 (or host=) and waits until it is in force everywhere.
-// With base the change is made against that version of the workspace and not the
-// present one; with want its result is checked.
+// cmdApply applies an example deployment, or a template and a workspace from the script, through
+// entry-1 (or host=) and waits until the change is in effect on every host. base= is the version
+// of the workspace that the change is based on, by default the current one. want= is the expected
+// result.
 //
 //	apply [host=entry-1] [base=n] [want=applied] auction|repairs
 //	apply [host=entry-1] [base=n] [want=applied] template-file workspace-file
-func cmdApply(ts *testscript.TestScript, w *world, args []string) {
+func cmdApply(ts *testscript.TestScript, d *deployment, args []string) {
 	opts, rest := options(args)
 	host := opts["host"]
 	if host == "" {
 		host = hostID(0)
 	}
-	need(ts, rest, 1, "apply [host=id] example | template-file workspace-file")
+	requireArgs(ts, rest, 1, "apply [host=id] example | template-file workspace-file")
 	var template, workspace config.File
 	if len(rest) == 1 {
-		dir := filepath.Join(w.examples, rest[0])
+		dir := filepath.Join(d.examples, rest[0])
 		template = file(ts, filepath.Join(dir, "template.jsonc"))
 		workspace = file(ts, filepath.Join(dir, "workspace.jsonc"))
 	} else {
@@ -149,7 +149,7 @@
 		n := uint64(number(ts, v))
 		base = &n
 	}
-	r, err := w.lab.ApplyText(w.ctx, host, template, workspace, base)
+	r, err := d.cluster.ApplyText(d.ctx, host, template, workspace, base)
 	ts.Check(err)
 	want := config.ResultApplied
 	if v, ok := opts["want"]; ok {
@@ -167,13 +167,13 @@
 	return config.File{Name: filepath.Base(name), Text: readFile(ts, name)}
 }
 
-// cmdTable sets what is wrong with the platform's table, objects and host list.
+// cmdTable sets the faults of the platform's table, object store and host list.
 //
 //	table up | down
 //	table slow 50ms
-//	table loses 0.3     share of writes whose answer is lost after they took effect
-func cmdTable(ts *testscript.TestScript, w *world, args []string) {
-	need(ts, args, 1, "table up|down|slow d|loses share")
+//	table loses 0.3     share of writes that are applied but whose reply is lost
+func cmdTable(ts *testscript.TestScript, d *deployment, args []string) {
+	requireArgs(ts, args, 1, "table up|down|slow d|loses share")
 	var f platform.Faults
 	switch args[0] {
 	case "up":
@@ -191,7 +191,7 @@
 	default:
 		ts.Fatalf("table: unknown state %q", args[0])
 	}
-	w.lab.Platform.SetFaults(f)
+	d.cluster.Platform.SetFaults(f)
 }
 
 func number(ts *testscript.TestScript, s string) int {
--- a/internal/scenario/load.go
+++ b/internal/scenario/load.go
@@ -13,17 +13,17 @@
 	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 )
 
-// loadCallers is the number of callers of a load; each makes one call after the
-// other with a short pause.
+// loadCallers is the number of concurrent callers of a load. Each makes one call after the other,
+// with loadPause between them.
 const (
 	loadCallers = 8
 	loadPause   = 2 * time.Millisecond
 )
 
-// load is callers at work. They reach hosts as through the platform's balancer:
-// any that says it is ready.
+// load is a set of concurrent callers. Each call goes to a random host that reports ready, as
+// through the platform's load balancer.
 type load struct {
-	w      *world
+	d      *deployment
 	path   string
 	client *http.Client
 	stop   context.CancelFunc
@@ -34,30 +34,30 @@
 	failed []string
 }
 
-// cmdLoad begins calls, or ends them and checks that none failed.
+// cmdLoad starts a load, or stops it and checks that no call failed.
 //
 //	load start /path
 //	load stop        fails if any call was not answered
-func cmdLoad(ts *testscript.TestScript, w *world, args []string) {
-	need(ts, args, 1, "load start /path | load stop")
+func cmdLoad(ts *testscript.TestScript, d *deployment, args []string) {
+	requireArgs(ts, args, 1, "load start /path | load stop")
 	switch args[0] {
 	case "start":
-		need(ts, args, 2, "load start /path")
-		w.load = startLoad(w, args[1])
+		requireArgs(ts, args, 2, "load start /path")
+		d.load = startLoad(d, args[1])
 	case "stop":
-		if w.load == nil {
+		if d.load == nil {
 			ts.Fatalf("no load was started")
 		}
-		w.load.end(ts)
+		d.load.finish(ts)
 	default:
-		ts.Fatalf("load: unknown word %q", args[0])
+		ts.Fatalf("load: unknown action %q", args[0])
 	}
 }
 
-func startLoad(w *world, path string) *load {
-	ctx, cancel := context.WithCancel(w.ctx)
+func startLoad(d *deployment, path string) *load {
+	ctx, cancel := context.WithCancel(d.ctx)
 	l := &load{
-		w: w, path: path, stop: cancel,
+		d: d, path: path, stop: cancel,
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: loadCallers}},
 	}
 	for i := range loadCallers {
@@ -74,34 +74,34 @@
 }
 
 func (l *load) once(rng *rand.Rand) {
-	h := l.ready(rng)
+	h := l.readyHost(rng)
 	if h == nil {
 		return
 	}
-	// A POST: the client would send a GET again by itself when a connection is
-	// reset, and hide it.
-	req, err := http.NewRequestWithContext(l.w.ctx, http.MethodPost, "http://"+h.CallersAddr()+l.path, nil)
+	// POST, since the HTTP client would retry a GET by itself on a connection reset and so hide
+	// the failure.
+	req, err := http.NewRequestWithContext(l.d.ctx, http.MethodPost, "http://"+h.CallersAddr()+l.path, nil)
 	if err != nil {
-		l.note("%v", err)
+		l.count("%v", err)
 		return
 	}
 	r, err := testcluster.Do(l.client, req)
 	if err != nil {
-		l.note("through %s: %v", h.ID, err)
+		l.count("through %s: %v", h.ID, err)
 		return
 	}
 	if r.Outcome != "answered" {
-		l.note("through %s: %s %s", h.ID, r.Outcome, r.Reason)
+		l.count("through %s: %s %s", h.ID, r.Outcome, r.Reason)
 		return
 	}
-	l.note("")
+	l.count("")
 }
 
-// ready returns a host that says it is ready.
-func (l *load) ready(rng *rand.Rand) *testcluster.Host {
-	ids := l.w.lab.HostIDs()
+// readyHost returns a random host that reports ready, or nil.
+func (l *load) readyHost(rng *rand.Rand) *testcluster.Host {
+	ids := l.d.cluster.HostIDs()
 	for _, i := range rng.Perm(len(ids)) {
-		h, err := l.w.lab.Host(ids[i])
+		h, err := l.d.cluster.Host(ids[i])
 		if err == nil && h.Board().Status.Load().Ready() {
 			return h
 		}
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// note counts a call; with a format, one that failed.
-func (l *load) note(format string, args ...any) {
+// count counts a call. With a format it records a failure.
+func (l *load) count(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls++
@@ -119,7 +119,7 @@
 	}
 }
 
-func (l *load) end(ts *testscript.TestScript) {
+func (l *load) finish(ts *testscript.TestScript) {
 	l.stop()
 	l.wg.Wait()
 	l.client.CloseIdleConnections()
@@ -127,23 +127,23 @@
 	defer l.mu.Unlock()
 	ts.Logf("%d calls, %d failed", l.calls, len(l.failed))
 	if l.calls == 0 {
-		ts.Fatalf("the load made no call")
+		ts.Fatalf("the load made no calls")
 	}
 	if len(l.failed) > 0 {
 		ts.Fatalf("%d of %d calls failed, first: %s", len(l.failed), l.calls, l.failed[0])
 	}
 }
 
-// cmdReplace replaces every host that runs by a new one, one after the other.
+// cmdReplace replaces each running host by a new one, one after the other.
 //
 //	replace
-func cmdReplace(ts *testscript.TestScript, w *world, _ []string) {
-	ids := w.lab.HostIDs()
+func cmdReplace(ts *testscript.TestScript, d *deployment, _ []string) {
+	ids := d.cluster.HostIDs()
 	for i, id := range ids {
-		fresh := fmt.Sprintf("fresh-%d", i+1)
-		_, err := w.lab.AddHost(fresh, "zone-"+string(rune('a'+i%3)))
+		replacement := fmt.Sprintf("fresh-%d", i+1)
+		_, err := d.cluster.AddHost(replacement, "zone-"+string(rune('a'+i%3)))
 		ts.Check(err)
-		ts.Check(w.lab.WaitReady(w.ctx, fresh))
-		ts.Check(w.lab.Stop(id))
+		ts.Check(d.cluster.WaitReady(d.ctx, replacement))
+		ts.Check(d.cluster.Stop(id))
 	}
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,7 +1,7 @@
-// Package scenario is the language of the scenarios in testdata/script: commands
-// for testscript that build a deployment, bring about failures and say what must
-// be seen. Each script has a deployment of its own (internal/lab) over loopback.
-// Commands that wait do so for a condition, never for a time.
+// Package scenario defines the testscript commands of the scenarios in testdata/script. The
+// commands build a deployment, inject failures and check the results. Each script has its own
+// deployment over loopback (package testcluster). A command that waits does so for a condition,
+// never for a fixed time.
 package scenario
 
 import (
@@ -17,10 +17,10 @@
 	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 )
 
-// world is the deployment of one script.
-type world struct {
-	lab *testcluster.Cluster
-	ctx context.Context
+// deployment is the state of one script: its cluster, background calls and load.
+type deployment struct {
+	cluster *testcluster.Cluster
+	ctx     context.Context
 
 	mu       sync.Mutex
 	pending  map[string]chan result
@@ -28,20 +28,20 @@
 	load     *load
 }
 
-// result is what a call in the background came to.
+// result is the result of a background call.
 type result struct {
 	resp testcluster.Response
 	err  error
 }
 
-type worldKey struct{}
+type deploymentKey struct{}
 
-// patience bounds a whole script. It is far above what any takes: a script that
-// reaches it hangs.
-const patience = 4 * time.Minute
+// scriptTimeout bounds a whole script, far above the duration of any: a script that reaches it
+// hangs.
+const scriptTimeout = 4 * time.Minute
 
-// Params returns the testscript parameters that run the scripts of a folder.
-// examples is the folder with the example declarations.
+// Params returns the testscript parameters to run the scripts of a folder. examples is the folder
+// of the example deployments.
 func Params(dir, examples string) testscript.Params {
 	return testscript.Params{
 		Dir:   dir,
@@ -50,12 +50,12 @@
 	}
 }
 
-// notice is how long hosts announce a stop. A caller that has looked at a host's
-// readiness sends well within it, also on a busy machine.
-const notice = 400 * time.Millisecond
+// stopNotice is how long hosts announce that they are about to stop. It is long enough for a
+// caller that has just checked a host's readiness to send its call, also on a busy machine.
+const stopNotice = 400 * time.Millisecond
 
 func setup(env *testscript.Env, examples string) error {
-	l, err := testcluster.New(testcluster.Options{Notice: notice})
+	l, err := testcluster.New(testcluster.Options{Notice: stopNotice})
 	if err != nil {
 		return err
 	}
@@ -63,57 +63,57 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), scriptTimeout)
 	env.Defer(func() {
 		cancel()
 		l.Close()
 	})
-	env.Values[worldKey{}] = &world{lab: l, ctx: ctx, pending: make(map[string]chan result), examples: abs}
+	env.Values[deploymentKey{}] = &deployment{cluster: l, ctx: ctx, pending: make(map[string]chan result), examples: abs}
 	return nil
 }
 
-// commands of the language; each is documented at its function.
+// commands are documented at the functions that implement them.
 var commands = map[string]func(ts *testscript.TestScript, neg bool, args []string){
-	"hosts":   positive(cmdHosts),
-	"host":    positive(cmdHost),
-	"stop":    positive(cmdStop),
-	"crash":   positive(cmdCrash),
-	"targets": positive(cmdTargets),
-	"target":  positive(cmdTarget),
-	"apply":   positive(cmdApply),
-	"table":   positive(cmdTable),
-	"call":    positive(cmdCall),
-	"await":   positive(cmdAwait),
-	"issue":   positive(cmdIssue),
-	"runs":    positive(cmdRuns),
-	"begun":   positive(cmdBegun),
-	"ran":     positive(cmdRan),
-	"metric":  positive(cmdMetric),
-	"until":   positive(cmdUntil),
-	"expect":  positive(cmdExpect),
-	"load":    positive(cmdLoad),
-	"replace": positive(cmdReplace),
+	"hosts":   command(cmdHosts),
+	"host":    command(cmdHost),
+	"stop":    command(cmdStop),
+	"crash":   command(cmdCrash),
+	"targets": command(cmdTargets),
+	"target":  command(cmdTarget),
+	"apply":   command(cmdApply),
+	"table":   command(cmdTable),
+	"call":    command(cmdCall),
+	"await":   command(cmdAwait),
+	"issue":   command(cmdIssue),
+	"runs":    command(cmdRuns),
+	"begun":   command(cmdBegun),
+	"ran":     command(cmdRan),
+	"metric":  command(cmdMetric),
+	"until":   command(cmdUntil),
+	"expect":  command(cmdExpect),
+	"load":    command(cmdLoad),
+	"replace": command(cmdReplace),
 }
 
-// positive refuses the ! that testscript offers: each command says itself what
-// it wants to see.
-func positive(f func(*testscript.TestScript, *world, []string)) func(*testscript.TestScript, bool, []string) {
+// command adapts a command function to testscript and rejects negation with !, because each
+// command states the result it expects.
+func command(f func(*testscript.TestScript, *deployment, []string)) func(*testscript.TestScript, bool, []string) {
 	return func(ts *testscript.TestScript, neg bool, args []string) {
 		if neg {
-			ts.Fatalf("this command takes no !")
+			ts.Fatalf("this command can not be negated with !")
 		}
-		f(ts, ts.Value(worldKey{}).(*world), args)
+		f(ts, ts.Value(deploymentKey{}).(*deployment), args)
 	}
 }
 
-// need fails the script unless there are at least n arguments.
-func need(ts *testscript.TestScript, args []string, n int, usage string) {
+// requireArgs fails the script unless there are at least n arguments.
+func requireArgs(ts *testscript.TestScript, args []string, n int, usage string) {
 	if len(args) < n {
 		ts.Fatalf("usage: %s", usage)
 	}
 }
 
-// options splits name=value arguments off the front.
+// options splits leading name=value arguments from the rest.
 func options(args []string) (opts map[string]string, rest []string) {
 	opts = make(map[string]string)
 	for len(args) > 0 {
