--- a/cmd/cactusdemo/demo.go
+++ b/cmd/cactusdemo/demo.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/cactusproxy/cactusproxy/controller/config"
-	"github.com/cactusproxy/cactusproxy/internal/lab"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 )
 
 // Workspaces of the two example deployments.
@@ -21,7 +21,7 @@
 
 // demo runs the steps against a deployment in this process.
 type demo struct {
-	lab      *lab.Lab
+	lab      *testcluster.Cluster
 	examples fs.FS
 	out      io.Writer
 	hosts    []string
--- a/controller/membership/random_test.go
+++ b/controller/membership/random_test.go
@@ -100,9 +100,9 @@
 	h := r.hosts[id]
 	switch {
 	case o.kind == opHeal:
-		r.net.Heal()
+		r.net.UnblockAll()
 	case o.kind == opCut:
-		r.net.Cut(id, other)
+		r.net.Block(id, other)
 	case o.kind == opRestart:
 		r.restart(id)
 	case h == nil:
@@ -175,7 +175,7 @@
 // finish ends all faults and requires that the views become correct within the bound and
 // stay correct.
 func (r *randomRun) finish() {
-	r.net.Heal()
+	r.net.UnblockAll()
 	for _, h := range r.hosts {
 		h.gate.open()
 		h.list.fail(nil)
--- a/internal/bench/claims/claims.go
+++ b/internal/bench/claims/claims.go
@@ -47,13 +47,13 @@
 
 // Defaults of Settings.
 const (
-	DefaultHosts           = 15
+	DefaultHosts = 15
 	DefaultWritesPerSecond = 300
-	DefaultTableDelay      = 5 * time.Millisecond
-	DefaultPooled          = 0.6
-	DefaultPeerDelay       = 500 * time.Microsecond
-	DefaultFor             = 5 * time.Second
-	DefaultCallers         = 256
+	DefaultTableDelay = 5 * time.Millisecond
+	DefaultPooled = 0.6
+	DefaultPeerDelay = 500 * time.Microsecond
+	DefaultFor = 5 * time.Second
+	DefaultCallers = 256
 )
 
 func (s Settings) withDefaults() Settings {
@@ -96,11 +96,11 @@
 type Added struct {
 	// CallsPerSecond is the rate of calls; 0 for as many as could be made.
 	CallsPerSecond int
-	Calls          int64
+	Calls int64
 	// Refused counts the calls that got no claim.
 	Refused int64
-	P50     time.Duration
-	P99     time.Duration
+	P50 time.Duration
+	P99 time.Duration
 	// Transactions is the number that the table took a second.
 	Transactions float64
 }
@@ -142,19 +142,19 @@
 // bench is a set of hosts under load.
 type bench struct {
 	settings Settings
-	ledgers  []*ledger.Ledger
-	serial   atomic.Uint64
-	refused  atomic.Int64
+	ledgers []*ledger.Ledger
+	serial atomic.Uint64
+	refused atomic.Int64
 
-	mu    sync.Mutex
+	mu sync.Mutex
 	times *hdrhistogram.Histogram
 }
 
 // Range and precision of the histogram of times, in microseconds.
 const (
 	shortest = 1
-	longest  = 60_000_000
-	digits   = 3
+	longest = 60_000_000
+	digits = 3
 )
 
 // measure starts fresh hosts, puts them under load, and reports.
@@ -172,7 +172,7 @@
 	}
 	loadCtx, stop := context.WithTimeout(ctx, s.For)
 	load(loadCtx, b)
-	commits, _ := table.Commits()
+	commits, _ := table.OpCounts()
 	stop()
 	cancel()
 	running.Wait()
@@ -186,14 +186,14 @@
 	all := float64(b.settings.WritesPerSecond)
 	pooled := all * b.settings.Pooled
 	l := ledger.New(ledger.Deps{
-		Table:       table,
-		Link:        net.Join(id),
-		Host:        id,
+		Table: table,
+		Link: net.Join(id),
+		Host: id,
 		Incarnation: 1,
 		Coordinator: func() ports.HostID { return hostID(0) },
 		Options: ledger.Options{
 			WriteRate: (all - pooled) / float64(b.settings.Hosts),
-			PoolRate:  pooled,
+			PoolRate: pooled,
 		},
 	})
 	b.ledgers = append(b.ledgers, l)
@@ -204,10 +204,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return Added{
-		Calls:        b.times.TotalCount() + b.refused.Load(),
-		Refused:      b.refused.Load(),
-		P50:          micros(b.times.ValueAtQuantile(50)),
-		P99:          micros(b.times.ValueAtQuantile(99)),
+		Calls: b.times.TotalCount() + b.refused.Load(),
+		Refused: b.refused.Load(),
+		P50: micros(b.times.ValueAtQuantile(50)),
+		P99: micros(b.times.ValueAtQuantile(99)),
 		Transactions: float64(commits) / b.settings.For.Seconds(),
 	}
 }
@@ -257,10 +257,10 @@
 	ctx, cancel := context.WithTimeout(ctx, callDeadline)
 	defer cancel()
 	k := ledger.Key{
-		Workspace:   "auction",
-		Service:     "bids",
-		Caller:      "buyer",
-		Value:       fmt.Sprintf("purchase-%d", b.serial.Add(1)),
+		Workspace: "auction",
+		Service: "bids",
+		Caller: "buyer",
+		Value: fmt.Sprintf("purchase-%d", b.serial.Add(1)),
 		DigestKnown: true,
 	}
 	began := time.Now()
--- a/ledger/pool_test.go
+++ b/ledger/pool_test.go
@@ -44,7 +44,7 @@
 func TestLostReplyOfTheCoordinator(t *testing.T) {
 	withCluster(t, 3, pooledOptions, func(t *testing.T, cl *cluster) {
 		cl.sendMany(t, 1, 5)
-		cl.net.Cut(cl.hosts[0].id, cl.hosts[1].id)
+		cl.net.Block(cl.hosts[0].id, cl.hosts[1].id)
 		assert.Check(t, cl.sendMany(t, 1, 1) < 2*time.Second)
 		assert.Check(t, cl.hosts[1].count("forwards_failed") > 0)
 	})
--- a/limit_test.go
+++ b/limit_test.go
@@ -10,18 +10,18 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/cactusproxy/cactusproxy/internal/lab"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 )
 
 // catalogueCluster is three coordinated hosts and three targets of one service.
 type catalogueCluster struct {
-	hosts   []*lab.Host
-	targets []*lab.Target
+	hosts []*testcluster.Host
+	targets []*testcluster.Target
 }
 
 func newCatalogue(t *testing.T) *catalogueCluster {
-	l, err := lab.New(lab.Options{})
+	l, err := testcluster.New(testcluster.Options{})
 	assert.NilError(t, err)
 	t.Cleanup(l.Close)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -50,11 +50,11 @@
 }
 
 // browse sends a read request through one of the hosts.
-func (d *catalogueCluster) browse(t *testing.T, host int) lab.Response {
+func (d *catalogueCluster) browse(t *testing.T, host int) testcluster.Response {
 	addr := d.hosts[host%len(d.hosts)].CallersAddr()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+"/subasta-verde/catalogue/lots", nil)
 	assert.Check(t, err)
-	r, err := lab.Do(http.DefaultClient, req)
+	r, err := testcluster.Do(http.DefaultClient, req)
 	assert.Check(t, err)
 	return r
 }
@@ -65,7 +65,7 @@
 	const rest = 3 * time.Second
 	d := newCatalogue(t)
 	tg := d.targets[0]
-	tg.SetBehaviour(target.Behaviour{Shed: true, Rest: rest})
+	tg.SetBehaviour(target.Behaviour{Shed: true, RetryAfter: rest})
 	for begin, i := time.Now(), 0; time.Since(begin) < rest*2/3; i++ {
 		assert.Equal(t, d.browse(t, i).Status, http.StatusOK)
 		time.Sleep(5 * time.Millisecond)
@@ -81,11 +81,11 @@
 // that the target announces.
 func TestCoordinatedHostsKeepTheLimitsThatTargetsName(t *testing.T) {
 	const (
-		limit   = 2.0 // requests per second that each of the three targets announces
-		allowed = 17  // in 4 s: 1.5 times the limit, plus 5
-		every   = 40 * time.Millisecond
-		span    = 4 * time.Second
-		stable  = time.Second // after this time all hosts know the limit
+		limit = 2.0 // requests per second that each of the three targets announces
+		allowed = 17 // in 4 s: 1.5 times the limit, plus 5
+		every = 40 * time.Millisecond
+		span = 4 * time.Second
+		stable = time.Second // after this time all hosts know the limit
 	)
 	d := newCatalogue(t)
 	for _, tg := range d.targets {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	simHosts   = 15
+	simHosts = 15
 	simTargets = 15
-	simSlots   = 2
+	simSlots = 2
 	// simRoundTrip is the time from a host's response to the caller's next send.
 	simRoundTrip = 2 * time.Millisecond
-	simService   = 5 * time.Millisecond
-	simRestart   = 500 * time.Millisecond
+	simService = 5 * time.Millisecond
+	simRestart = 500 * time.Millisecond
 	// simAdmitTimeout bounds how long a call waits in Admit.
 	simAdmitTimeout = 2 * time.Second
 )
@@ -211,13 +211,13 @@
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		go func() { _ = a.Run(ctx) }()
-		net.Cut("a", "b")
+		net.Block("a", "b")
 		at, _ := a.Admit(ctx, 5)
 		at.Started("t1")
 		at.BrokeOff()
 		synctest.Wait()
 		assert.Equal(t, len(b.List(1)), 0)
-		net.Heal()
+		net.UnblockAll()
 		time.Sleep(syncInterval)
 		synctest.Wait()
 		assert.Equal(t, len(b.List(1)), 1)
--- a/random_test.go
+++ b/random_test.go
@@ -20,7 +20,7 @@
 	"github.com/cactusproxy/cactusproxy/internal/bench/confignet"
 	"github.com/cactusproxy/cactusproxy/internal/invariant"
 	"github.com/cactusproxy/cactusproxy/internal/standin/store"
-	"github.com/cactusproxy/cactusproxy/internal/vlab"
+	"github.com/cactusproxy/cactusproxy/internal/simcluster"
 	"github.com/cactusproxy/cactusproxy/outcome"
 	"github.com/cactusproxy/cactusproxy/ports"
 )
@@ -37,10 +37,10 @@
 
 // Bounds of a generated history.
 const (
-	randomHosts   = 3
+	randomHosts = 3
 	randomTargets = 3
-	randomKeys    = 6
-	randomSteps   = 40
+	randomKeys = 6
+	randomSteps = 40
 )
 
 // opKind is the kind of a step.
@@ -48,8 +48,8 @@
 
 const (
 	opOrder opKind = iota // a request with one of a few idempotency keys
-	opBurst               // requests with the same key through every host at once
-	opIssue               // a host issues a key, which replaces another one
+	opBurst // requests with the same key through every host at once
+	opIssue // a host issues a key, which replaces another one
 	opBrowse
 	opTargetState
 	opStoreDown
@@ -66,47 +66,47 @@
 // op is a step of a history. All steps are generated in advance so that rapid can
 // shrink a failing history.
 type op struct {
-	Kind  opKind
-	Wait  time.Duration
-	Host  int
+	Kind opKind
+	Wait time.Duration
+	Host int
 	Other int
-	Key   int
-	State vlab.State
+	Key int
+	State simcluster.State
 }
 
 func drawOp(t *rapid.T) op {
 	return op{
-		Kind:  opKind(rapid.IntRange(0, int(opKinds)-1).Draw(t, "kind")),
-		Wait:  time.Duration(rapid.IntRange(0, 400).Draw(t, "wait")) * time.Millisecond,
-		Host:  rapid.IntRange(0, randomHosts-1).Draw(t, "host"),
+		Kind: opKind(rapid.IntRange(0, int(opKinds)-1).Draw(t, "kind")),
+		Wait: time.Duration(rapid.IntRange(0, 400).Draw(t, "wait")) * time.Millisecond,
+		Host: rapid.IntRange(0, randomHosts-1).Draw(t, "host"),
 		Other: rapid.IntRange(0, randomHosts-1).Draw(t, "other"),
-		Key:   rapid.IntRange(0, randomKeys-1).Draw(t, "key"),
-		State: vlab.State(rapid.IntRange(0, int(vlab.Cutting)).Draw(t, "state")),
+		Key: rapid.IntRange(0, randomKeys-1).Draw(t, "key"),
+		State: simcluster.State(rapid.IntRange(0, int(simcluster.Aborting)).Draw(t, "state")),
 	}
 }
 
 // send is one request of the history and the reply to it.
 type send struct {
-	req        vlab.Request
+	req simcluster.Request
 	begun, end time.Time
-	reply      vlab.Reply
+	reply simcluster.Reply
 }
 
 // history runs a script against complete daemons and records what was observed.
 type history struct {
-	lab     *vlab.Lab
+	lab *simcluster.Cluster
 	keyFile string
 	// breakTable, if set, replaces the platform's table with a faulty one.
 	breakTable func(ports.Table) ports.Table
-	wg         sync.WaitGroup
+	wg sync.WaitGroup
 
-	mu       sync.Mutex
-	sends    []send
-	serial   int
+	mu sync.Mutex
+	sends []send
+	serial int
 	nextHost int
-	hosts    [randomHosts]string
-	keys     [randomKeys]string
-	applied  uint64
+	hosts [randomHosts]string
+	keys [randomKeys]string
+	applied uint64
 	problems []string
 }
 
@@ -118,7 +118,7 @@
 
 // start creates a deployment with one workspace in force.
 func (h *history) start() {
-	h.lab = vlab.New(h.keyFile)
+	h.lab = simcluster.New(h.keyFile)
 	if h.breakTable != nil {
 		h.lab.Table = h.breakTable(h.lab.Table)
 	}
@@ -159,7 +159,7 @@
 			h.order(place, o.Key)
 		}
 	case opIssue:
-		if r := h.lab.Call(vlab.Request{Host: h.hosts[o.Host], Method: "POST", Path: "/.cactusproxy/keys/w/s0"}); r.Status == http.StatusCreated {
+		if r := h.lab.Call(simcluster.Request{Host: h.hosts[o.Host], Method: "POST", Path: "/.cactusproxy/keys/w/s0"}); r.Status == http.StatusCreated {
 			h.keys[o.Key] = strings.TrimSpace(r.Body)
 		}
 	case opBrowse:
@@ -179,9 +179,9 @@
 	case opStop:
 		h.stop(o.Host)
 	case opCut:
-		h.lab.Net.Cut(ports.HostID(h.hosts[o.Host]), ports.HostID(h.hosts[o.Other]))
+		h.lab.Net.Block(ports.HostID(h.hosts[o.Host]), ports.HostID(h.hosts[o.Other]))
 	case opHeal:
-		h.lab.Net.Heal()
+		h.lab.Net.UnblockAll()
 	case opApply:
 		h.apply(o)
 	}
@@ -203,7 +203,7 @@
 func (h *history) call(place int, method, path, key string) {
 	h.mu.Lock()
 	h.serial++
-	s := send{req: vlab.Request{
+	s := send{req: simcluster.Request{
 		Host: h.hosts[place], Method: method, Path: path, Key: key,
 		ID: fmt.Sprintf("r%d", h.serial), Body: "body of " + key,
 	}, begun: time.Now()}
@@ -245,10 +245,10 @@
 // finish ends all faults, gives the hosts time to recover and checks what was
 // observed.
 func (h *history) finish() {
-	h.lab.Net.Heal()
+	h.lab.Net.UnblockAll()
 	h.lab.Store.SetFaults(store.Faults{Delay: 5 * time.Millisecond})
 	for i := range randomTargets {
-		h.lab.Fleet.Set(ports.HostID(fmt.Sprintf("t%d", i)), vlab.Up)
+		h.lab.Fleet.Set(ports.HostID(fmt.Sprintf("t%d", i)), simcluster.Up)
 	}
 	h.wg.Wait()
 	time.Sleep(10 * time.Second)
@@ -278,7 +278,7 @@
 	for _, s := range h.sends {
 		begun[s.req.ID] = s.begun
 	}
-	runs := make(map[string][]vlab.Run)
+	runs := make(map[string][]simcluster.Run)
 	for _, r := range h.lab.Fleet.Runs() {
 		if r.Key != "" {
 			runs[r.Key] = append(runs[r.Key], r)
