--- a/internal/bench/choose/baselines.go
+++ b/internal/bench/choose/baselines.go
@@ -7,72 +7,73 @@
 	"github.com/cactusproxy/cactusproxy/pick"
 )
 
-// baseline sends each call at once to the target that choose names, by what its
-// entry host alone knows.
+// baseline sends each call immediately to the target selected by choose, which
+// uses only the state of the entry host.
 type baseline struct {
-	world  *world
-	rng    *rand.Rand
-	own    [][]int // attempts in flight, by host and target
-	turn   []int
-	choose func(b *baseline, host int) int
+	sim        *simulation
+	rng        *rand.Rand
+	inFlight   [][]int // attempts in flight, indexed by host and target
+	lastTarget []int
+	choose     func(b *baseline, host int) int
 }
 
-func (b *baseline) attach(w *world) {
-	b.world = w
+func (b *baseline) attach(w *simulation) {
+	b.sim = w
 	b.rng = rand.New(rand.NewPCG(w.seed, 2))
-	b.own = make([][]int, w.c.Hosts)
-	b.turn = make([]int, w.c.Hosts)
-	for i := range b.own {
-		b.own[i] = make([]int, w.c.Targets)
-		b.turn[i] = b.rng.IntN(w.c.Targets)
+	b.inFlight = make([][]int, w.c.Hosts)
+	b.lastTarget = make([]int, w.c.Hosts)
+	for i := range b.inFlight {
+		b.inFlight[i] = make([]int, w.c.Targets)
+		b.lastTarget[i] = b.rng.IntN(w.c.Targets)
 	}
 }
 
 func (b *baseline) arrive(c *simCall) {
 	i := b.choose(b, c.host)
-	b.own[c.host][i]++
-	b.world.send(c, b.world.targets[i], func(class pick.Class, _ int) {
-		b.own[c.host][i]--
-		b.world.finish(c, class)
+	b.inFlight[c.host][i]++
+	b.sim.send(c, b.sim.targets[i], func(class pick.Class, _ int) {
+		b.inFlight[c.host][i]--
+		b.sim.finish(c, class)
 	})
 }
 
-func chooseRandom(b *baseline, _ int) int { return b.rng.IntN(b.world.c.Targets) }
+func chooseRandom(b *baseline, _ int) int { return b.rng.IntN(b.sim.c.Targets) }
 
 func chooseRoundRobin(b *baseline, host int) int {
-	b.turn[host] = (b.turn[host] + 1) % b.world.c.Targets
-	return b.turn[host]
+	b.lastTarget[host] = (b.lastTarget[host] + 1) % b.sim.c.Targets
+	return b.lastTarget[host]
 }
 
 func chooseTwo(b *baseline, host int) int {
-	i := b.rng.IntN(b.world.c.Targets)
-	j := b.rng.IntN(b.world.c.Targets - 1)
+	i := b.rng.IntN(b.sim.c.Targets)
+	j := b.rng.IntN(b.sim.c.Targets - 1)
 	if j >= i {
 		j++
 	}
-	if b.own[host][j] < b.own[host][i] {
+	if b.inFlight[host][j] < b.inFlight[host][i] {
 		return j
 	}
 	return i
 }
 
-// ideal is one queue for all targets, without distance: a call starts at a free
-// slot at once or waits in the order of arrival. It refuses what waits too
-// long, so that it shows the capacity too.
+// ideal is a single FIFO queue shared by all targets, without network latency: a
+// call starts immediately if a slot is free and otherwise waits in order of
+// arrival. The queue is bounded, so that under overload it also gives the
+// achievable capacity.
 type ideal struct {
-	world *world
+	sim   *simulation
 	rng   *rand.Rand
 	queue []*simCall
 }
 
-func (q *ideal) attach(w *world) {
-	q.world = w
+func (q *ideal) attach(w *simulation) {
+	q.sim = w
 	q.rng = rand.New(rand.NewPCG(w.seed, 2))
 }
 
 func (q *ideal) arrive(c *simCall) {
-	if len(q.queue) >= q.world.c.MaxQueue*q.world.c.Hosts {
-		q.world.refuse(c, outcome.ReasonQueueFull)
+	if len(q.queue) >= q.sim.c.MaxQueue*q.sim.c.Hosts {
+		q.sim.refuse(c, outcome.ReasonQueueFull)
 		return
 	}
 	q.queue = append(q.queue, c)
@@ -88,7 +89,7 @@
 		c := q.queue[0]
 		q.queue = q.queue[1:]
 		t.arrive(&job{work: c.work, answer: func(class pick.Class, _ int) {
-			q.world.finish(c, class)
+			q.sim.finish(c, class)
 			q.serve()
 		}})
 	}
@@ -97,8 +98,8 @@
 func (q *ideal) free() *simTarget {
 	var found *simTarget
 	n := 0
-	for _, t := range q.world.targets {
-		if t.busy >= q.world.c.Slots {
+	for _, t := range q.sim.targets {
+		if t.busy >= q.sim.c.Slots {
 			continue
 		}
 		n++
--- a/internal/bench/choose/choose_test.go
+++ b/internal/bench/choose/choose_test.go
@@ -8,10 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-var reportPath = flag.String("report", "", "write the full report as JSON to this file, and plots beside it")
+var reportPath = flag.String("report", "",
+	"write the full report as JSON to this file, and plots to its directory")
 
-// TestReport measures everything with -report, and otherwise a short run that
-// shows that the report and the plots come out.
+// TestReport runs the full benchmark with -report, and otherwise a short one that
+// checks that the report and the plots can be written.
 func TestReport(t *testing.T) {
 	t.Parallel()
 	o := FullOptions()
@@ -29,15 +30,15 @@
 	}
 }
 
-// The ratios of the aims, with few calls and fixed seeds, so that a change of
-// the policy that loses them is seen in every run of the tests.
+// Checks the p99 goals relative to the ideal queue with few calls and fixed seeds,
+// so that every test run detects a policy change that regresses them.
 func TestCoordinatorIsNearTheIdeal(t *testing.T) {
 	t.Parallel()
 	for _, d := range Deployments() {
 		d.Calls, d.Load = 25_000, 0.7
-		ideal := Run(d, WayIdeal, 1)
-		with := Run(d, WayCoordinated, 1)
-		without := Run(d, WayFallback, 1)
+		ideal := Run(d, StrategyIdeal, 1)
+		with := Run(d, StrategyCoordinated, 1)
+		without := Run(d, StrategyFallback, 1)
 		limit := 1.25
 		if d.Mean < shortService {
 			limit = 1.5
@@ -49,19 +50,19 @@
 	}
 }
 
-// shortService is the service time below which the way to the coordinator is a
-// large part of it.
+// shortService is the mean service time, in nanoseconds, below which the round
+// trip to the coordinator is a large part of the latency.
 const shortService = 5_000_000
 
 func TestOverloadKeepsTheSlotsBusyWithAnswersInTime(t *testing.T) {
 	t.Parallel()
 	for _, d := range Deployments() {
 		d.Calls, d.Load = 25_000, 2
-		ideal := Run(d, WayIdeal, 1)
-		for _, way := range []string{WayCoordinated, WayFallback} {
-			r := Run(d, way, 1)
+		ideal := Run(d, StrategyIdeal, 1)
+		for _, strategy := range []string{StrategyCoordinated, StrategyFallback} {
+			r := Run(d, strategy, 1)
 			share := ratio(r.Goodput, ideal.Goodput)
-			assert.Check(t, share >= 0.95, "%s, %s: goodput %.3f of the capacity", d.Name, way, share)
+			assert.Check(t, share >= 0.95, "%s, %s: goodput %.3f of the ideal", d.Name, strategy, share)
 		}
 	}
 }
@@ -74,19 +75,20 @@
 		r := RunScenario(c, s, 1)
 		assert.Equal(t, r.Unsettled, 0, s.Name)
 		switch s.Name {
-		case ScenarioGone, ScenarioCrash, ScenarioPause, ScenarioDispute:
+		case ScenarioCoordinatorCutOff, ScenarioCoordinatorCrash,
+			ScenarioCoordinatorPause, ScenarioTwoCoordinators:
 			near := ratio(ms(r.P99), ms(r.IdealP99))
 			assert.Check(t, near <= 1.6, "%s: p99 %.2f times the ideal", s.Name, near)
 			assert.Equal(t, r.Failed, 0, s.Name)
-		case ScenarioFailFast, ScenarioFailSolo, ScenarioThree:
+		case ScenarioFailFast, ScenarioFailFastFallback, ScenarioFailFastThree:
 			faulty := 1
-			if s.Name == ScenarioThree {
+			if s.Name == ScenarioFailFastThree {
 				faulty = 3
 			}
 			assert.Check(t, r.Reached-20*faulty < r.Calls/100, "%s: %d of %d calls", s.Name, r.Reached, r.Calls)
-		case ScenarioShed, ScenarioShedSolo:
+		case ScenarioShed, ScenarioShedFallback:
 			assert.Check(t, r.Reached < r.Calls/100, "%s: %d of %d calls", s.Name, r.Reached, r.Calls)
-		case ScenarioAll:
+		case ScenarioCombined:
 			near := ratio(ms(r.P99), ms(r.IdealP99))
 			assert.Check(t, near <= 2, "%s: p99 %.2f times the ideal", s.Name, near)
 			assert.Check(t, r.LastReached.Seconds() < 2, "%s: %s", s.Name, r.LastReached)
--- a/internal/bench/choose/coordinated.go
+++ b/internal/bench/choose/coordinated.go
@@ -15,56 +15,58 @@
 
 var benchService = blackboard.ServiceKey{Workspace: "bench", Service: "bench"}
 
-// coordinated runs the sessions and state of a daemon on every host.
+// coordinated runs a daemon's grant sessions and coordinator state on every
+// simulated host.
 type coordinated struct {
-	world *world
+	sim   *simulation
 	hosts []*simHost
 	ids   map[ports.HostID]int
-	// coordinator returns which host a host takes for the coordinator.
-	coordinator func(host int) int
-	listed      []blackboard.Target
-	local       int // calls placed by fallback
-	frames      int // messages between hosts
+	// coordinator returns the index of the host that the given host regards as
+	// the coordinator; a negative index means none.
+	coordinator   func(host int) int
+	listed        []blackboard.Target
+	placedLocally int // calls placed without a coordinator
+	messages      int // messages sent between hosts
 }
 
 func zoneName(i int) string { return string(rune('a' + i)) }
 
-// simHost is one entry host.
+// simHost is a simulated entry host.
 type simHost struct {
-	way         *coordinated
+	strategy    *coordinated
 	index       int
 	id          ports.HostID
 	session     *session.Session
 	coordinator *grant.Coordinator
 	calls       map[grant.CallID]*simCall
-	armed       time.Duration // when the next tick comes; 0 means none
+	nextTick    time.Duration // time of the next scheduled tick; 0 means none
 	service     *declare.Service
-	// cut hosts neither send nor receive messages of other hosts.
-	cut bool
-	// dead hosts answer nothing; paused ones answer when the pause ends.
-	dead   bool
-	paused time.Duration
+	// partitioned hosts exchange no messages with other hosts.
+	partitioned bool
+	// dead hosts do not respond; paused hosts respond once the pause ends.
+	dead        bool
+	pausedUntil time.Duration
 }
 
-func (w *coordinated) attach(wd *world) {
-	w.world = wd
+func (w *coordinated) attach(sim *simulation) {
+	w.sim = sim
 	w.ids = make(map[ports.HostID]int)
-	svc := declare.Service{Slots: wd.c.Slots, MaxQueue: wd.c.MaxQueue, ColdStart: wd.c.ColdStart}
-	for _, t := range wd.targets {
+	svc := declare.Service{Slots: sim.c.Slots, MaxQueue: sim.c.MaxQueue, ColdStart: sim.c.ColdStart}
+	for _, t := range sim.targets {
 		w.listed = append(w.listed, blackboard.Target{ID: t.id, Zone: zoneName(t.zone)})
 	}
-	for i := range wd.c.Hosts {
+	for i := range sim.c.Hosts {
 		h := &simHost{
-			way:   w,
-			index: i,
-			id:    ports.HostID(fmt.Sprintf("h%02d", i)),
-			calls: make(map[grant.CallID]*simCall),
+			strategy: w,
+			index:    i,
+			id:       ports.HostID(fmt.Sprintf("h%02d", i)),
+			calls:    make(map[grant.CallID]*simCall),
 		}
-		h.session = session.New(benchService, 1, rand.New(rand.NewPCG(wd.seed, uint64(100+i))))
-		h.coordinator = grant.NewCoordinator(benchService, rand.New(rand.NewPCG(wd.seed, uint64(200+i))))
+		h.session = session.New(benchService, 1, rand.New(rand.NewPCG(sim.seed, uint64(100+i))))
+		h.coordinator = grant.NewCoordinator(benchService, rand.New(rand.NewPCG(sim.seed, uint64(200+i))))
 		h.service = &svc
 		h.session.Configure(&svc)
-		h.session.SetZone(zoneName(i % wd.c.Zones))
+		h.session.SetZone(zoneName(i % sim.c.Zones))
 		h.coordinator.Configure(&svc)
 		w.ids[h.id] = i
 		w.hosts = append(w.hosts, h)
@@ -73,7 +75,7 @@
 	w.setCoordinators()
 }
 
-// setTargets tells every host the list of targets.
+// setTargets updates the target list of every host.
 func (w *coordinated) setTargets() {
 	for _, h := range w.hosts {
 		h.do(func(now time.Time) {
@@ -83,7 +85,7 @@
 	}
 }
 
-// setCoordinators tells every host its coordinator; a negative one is none.
+// setCoordinators updates the coordinator of every host.
 func (w *coordinated) setCoordinators() {
 	for _, h := range w.hosts {
 		i := w.coordinator(h.index)
@@ -109,17 +111,18 @@
 	})
 }
 
-// do runs one event of a host and carries out what follows from it.
+// do runs an event on the host and processes the resulting decisions and
+// messages until none are left for the host itself.
 func (h *simHost) do(event func(now time.Time)) {
-	now := h.way.world.clock()
+	now := h.strategy.sim.clock()
 	event(now)
 	for {
 		out := h.session.Take()
 		for _, d := range out.Decisions {
-			h.decided(d)
+			h.applyDecision(d)
 		}
 		if len(out.Overdue) > 0 {
-			h.tellOverdue(out.Overdue)
+			h.sendOverdue(out.Overdue)
 		}
 		if out.To == h.id {
 			h.coordinator.Receive(now, h.id, out.Frame)
@@ -130,11 +133,11 @@
 			break
 		}
 	}
-	h.arm()
+	h.scheduleTick()
 }
 
-// flush sends what the coordinator has to say and reports whether some of it was for
-// this host itself.
+// flush sends the coordinator's pending replies and reports whether any of them
+// was addressed to this host itself.
 func (h *simHost) flush(now time.Time) bool {
 	own := false
 	h.coordinator.Flush(now, func(to ports.HostID, t grant.Tell) {
@@ -145,31 +148,32 @@
 			h.session.Told(now, h.id, t)
 			return
 		}
-		dst := h.way.hosts[h.way.ids[to]]
+		dst := h.strategy.hosts[h.strategy.ids[to]]
 		h.deliver(dst, func(now time.Time) { dst.session.Told(now, h.id, t) })
 	})
 	return own
 }
 
 func (h *simHost) sendFrame(to ports.HostID, f grant.Frame) {
-	dst := h.way.hosts[h.way.ids[to]]
+	dst := h.strategy.hosts[h.strategy.ids[to]]
 	h.deliver(dst, func(now time.Time) { dst.coordinator.Receive(now, h.id, f) })
 }
 
-func (h *simHost) tellOverdue(ids []ports.HostID) {
-	for _, dst := range h.way.hosts {
+func (h *simHost) sendOverdue(ids []ports.HostID) {
+	for _, dst := range h.strategy.hosts {
 		if dst != h {
 			h.deliver(dst, func(now time.Time) { dst.session.Overdue(now, ids) })
 		}
 	}
 }
 
-// deliver carries a message to another host, unless one of them is dead. A
-// paused host takes it when the pause ends.
+// deliver sends a message to another host, unless the sender is dead or either
+// host is partitioned. A dead receiver drops the message; a paused one handles it
+// when the pause ends.
 func (h *simHost) deliver(dst *simHost, event func(now time.Time)) {
-	w := h.way.world
-	h.way.frames++
-	if h.dead || h.cut || dst.cut {
+	w := h.strategy.sim
+	h.strategy.messages++
+	if h.dead || h.partitioned || dst.partitioned {
 		return
 	}
 	w.after(w.distance(h.index, dst.index%w.c.Zones), func() {
@@ -177,34 +181,35 @@
 	})
 }
 
-// whenAwake runs f now or at the end of the pause, and never on a dead host.
+// whenAwake runs f now or, on a paused host, at the end of the pause. It never
+// runs f on a dead host.
 func (h *simHost) whenAwake(f func()) {
-	w := h.way.world
+	w := h.strategy.sim
 	switch {
 	case h.dead:
-	case h.paused > w.now:
-		w.after(h.paused-w.now, func() { h.whenAwake(f) })
+	case h.pausedUntil > w.now:
+		w.after(h.pausedUntil-w.now, func() { h.whenAwake(f) })
 	default:
 		f()
 	}
 }
 
-func (h *simHost) arm() {
-	w := h.way.world
+func (h *simHost) scheduleTick() {
+	w := h.strategy.sim
 	next := h.coordinator.Next()
 	if n := h.session.Next(); n > 0 && (next == 0 || n < next) {
 		next = n
 	}
-	if next == 0 || (h.armed > 0 && h.armed <= w.now+next) {
+	if next == 0 || (h.nextTick > 0 && h.nextTick <= w.now+next) {
 		return
 	}
 	at := w.now + next
-	h.armed = at
+	h.nextTick = at
 	w.after(next, func() {
-		if h.armed != at {
-			return // an earlier tick took its place
+		if h.nextTick != at {
+			return // superseded by an earlier tick
 		}
-		h.armed = 0
+		h.nextTick = 0
 		h.whenAwake(func() {
 			h.do(func(now time.Time) {
 				h.session.Tick(now)
@@ -214,9 +219,9 @@
 	})
 }
 
-// decided carries out a decision: the call goes to its target or is refused.
-func (h *simHost) decided(d session.Decision) {
-	w := h.way.world
+// applyDecision applies a decision: it sends the call to its target or refuses it.
+func (h *simHost) applyDecision(d session.Decision) {
+	w := h.strategy.sim
 	c := h.calls[d.ID]
 	delete(h.calls, d.ID)
 	if d.Reason != "" {
@@ -224,20 +229,22 @@
 		return
 	}
 	if d.Local {
-		h.way.local++
+		h.strategy.placedLocally++
 	}
 	began := w.now
 	t := w.targetByID(d.Target.ID)
 	w.send(c, t, func(class pick.Class, load int) {
-		h.whenAwake(func() { h.answered(c, t, d.ID, began, class, load) })
+		h.whenAwake(func() { h.finishAttempt(c, t, d.ID, began, class, load) })
 	})
 }
 
-// answered ends an attempt. A target that sheds or is leaving refused before
-// running the call, so that it goes to another; every other answer is the
-// caller's.
-func (h *simHost) answered(c *simCall, t *simTarget, id grant.CallID, began time.Duration, class pick.Class, load int) {
-	w := h.way.world
+// finishAttempt completes an attempt. A target that sheds load or is leaving refused
+// the call before executing it, so the call is retried on another target; any
+// other result is returned to the caller.
+func (h *simHost) finishAttempt(
+	c *simCall, t *simTarget, id grant.CallID, began time.Duration, class pick.Class, load int,
+) {
+	w := h.strategy.sim
 	r := pick.Report{Class: class, Latency: w.now - began, Load: load, LeavingHint: class == pick.Leaving}
 	h.do(func(now time.Time) { h.session.End(now, id, r) })
 	if class == pick.Leaving || class == pick.Shed {
@@ -247,7 +254,7 @@
 	w.finish(c, class)
 }
 
-func (w *world) targetByID(id ports.HostID) *simTarget {
+func (w *simulation) targetByID(id ports.HostID) *simTarget {
 	for _, t := range w.targets {
 		if t.id == id {
 			return t
--- a/internal/bench/choose/real_test.go
+++ b/internal/bench/choose/real_test.go
@@ -23,32 +23,32 @@
 	"github.com/cactusproxy/cactusproxy/slots"
 )
 
-// The bench drives the decisions with events of its own. Here the same load goes
-// through package slots itself, with its locks, timers and messages, on a fake
-// network in virtual time; both must come to the same latencies.
+// The benchmark drives the policy code with its own events. This test sends the
+// same load through package slots, with its locks, timers and messages, on a fake
+// network in virtual time, and checks that both give similar latencies.
 func TestBenchAgreesWithTheRealPicker(t *testing.T) {
 	t.Parallel()
 	c := Deployments()[0]
 	c.Calls, c.Load, c.StragglerShare = 8_000, 0.7, 0
-	model := Run(c, WayCoordinated, 1)
+	model := Run(c, StrategyCoordinated, 1)
 	var real []time.Duration
-	synctest.Test(t, func(*testing.T) { real = playReal(c) })
+	synctest.Test(t, func(*testing.T) { real = runReal(c) })
 	slices.Sort(real)
 	near := func(name string, got, want time.Duration) {
 		r := ratio(ms(got), ms(want))
-		t.Logf("%s: %s, the bench says %s", name, got, want)
-		assert.Check(t, r > 0.8 && r < 1.25, "%s: %s, the bench says %s", name, got, want)
+		t.Logf("%s: %s, simulation gives %s", name, got, want)
+		assert.Check(t, r > 0.8 && r < 1.25, "%s: %s, simulation gives %s", name, got, want)
 	}
 	near("median", quantile(real, 0.5), model.P50)
 	near("99th percentile", quantile(real, 0.99), model.P99)
 }
 
-// realRun is a run of the real pickers.
+// realRun runs the production picker of every host.
 type realRun struct {
 	c       Case
 	pickers []*slots.Slots
 	boards  []*blackboard.Board
-	targets map[ports.HostID]chan struct{} // slots of each
+	targets map[ports.HostID]chan struct{} // a semaphore of slots per target
 	listed  []blackboard.Target
 }
 
@@ -105,7 +105,7 @@
 	}))
 }
 
-func playReal(c Case) []time.Duration {
+func runReal(c Case) []time.Duration {
 	r := newRealRun(c)
 	rng := rand.New(rand.NewPCG(1, 1))
 	gap := time.Duration(float64(c.Mean) / (c.Load * float64(c.Targets*c.Slots)))
@@ -121,11 +121,12 @@
 		p.Close()
 		_ = r.boards[i].Close()
 	}
-	time.Sleep(time.Second) // messages on their way arrive
+	time.Sleep(time.Second) // let messages in flight arrive
 	return latencies[c.Calls/10:]
 }
 
-// call is one call, by a target that runs calls in the order of arrival.
+// call makes one call through the picker of a host to a target that runs calls in
+// order of arrival, and returns its latency.
 func (r *realRun) call(host int, work time.Duration) time.Duration {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), r.c.Timeout)
@@ -135,15 +136,15 @@
 		return r.c.Timeout
 	}
 	sent := time.Now()
-	way := r.c.Far
+	oneWay := r.c.Far
 	if g.Target().Zone == zoneName(host%r.c.Zones) {
-		way = r.c.Near
+		oneWay = r.c.Near
 	}
-	time.Sleep(way)
+	time.Sleep(oneWay)
 	r.targets[g.Target().ID] <- struct{}{}
 	time.Sleep(work)
 	<-r.targets[g.Target().ID]
-	time.Sleep(way)
+	time.Sleep(oneWay)
 	g.Release(pick.Report{Class: pick.OK, Latency: time.Since(sent), Load: -1})
 	return time.Since(began)
 }
--- a/internal/bench/choose/report.go
+++ b/internal/bench/choose/report.go
@@ -12,51 +12,51 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Options say how much to measure.
+// Options control the size of a benchmark.
 type Options struct {
-	Calls int       // of one run
-	Seeds int       // runs of each case and way
-	Loads []float64 // as shares of the slots
+	Calls int       // per run
+	Seeds int       // runs per case and strategy, each with its own seed
+	Loads []float64 // as fractions of the total slot capacity
 }
 
-// FullOptions are those of the published figures.
+// FullOptions returns the options used for the published results.
 func FullOptions() Options {
 	return Options{Calls: 60_000, Seeds: 5, Loads: []float64{0.3, 0.5, 0.7, 0.85, 0.95, 2.0}}
 }
 
-// Report is the figures of one run of the bench. Durations are milliseconds;
-// each is the median over the seeds.
+// Report holds the results of a benchmark. Durations are in milliseconds. Unless
+// a field says otherwise, each value is the median over the seeds.
 type Report struct {
 	Options   Options
 	Cases     []CaseReport
 	Scenarios []ScenarioReport
 }
 
-// CaseReport is one service at one load, by all ways.
+// CaseReport holds the results of every strategy for one service at one load.
 type CaseReport struct {
 	Name string
 	Load float64
-	Ways []WayReport
+	Ways []StrategyReport
 }
 
-// WayReport is one way in one case.
-type WayReport struct {
+// StrategyReport holds the results of one strategy for one case.
+type StrategyReport struct {
 	Way                 string
 	P50ms, P99ms        float64
 	P999ms              float64
-	P99WorstMs          float64 // of the seeds
+	P99WorstMs          float64 // worst seed
 	P99TimesIdeal       float64
 	P99TimesTwoChoices  float64
 	RefusedShare        float64
 	LateShare           float64
-	Goodput             float64 // answers in time, as a share of the capacity
+	Goodput             float64 // responses within the deadline, as a fraction of the capacity
 	GoodputTimesIdeal   float64
 	MessagesPerCall     float64
-	PlacedWithoutCoord  float64 // share of the calls
+	PlacedWithoutCoord  float64 // fraction of the calls
 	UnsettledCallsTotal int
 }
 
-// ScenarioReport is one fault.
+// ScenarioReport holds the results of one fault scenario.
 type ScenarioReport struct {
 	Name               string
 	Load               float64
@@ -64,20 +64,22 @@
 	P99TimesIdeal      float64
 	P99TimesIdealWorst float64
 	Calls              int
-	Failed, Refused    int // of the worst seed
+	Failed, Refused    int // worst seed
 	UnsettledTotal     int
-	Reached            int     // attempts that faulty targets got, worst seed
-	LastReachedMs      float64 // after the fault, worst seed
+	Reached            int     // attempts received by faulty targets, worst seed
+	LastReachedMs      float64 // time of the last such attempt after the fault, worst seed
 }
 
-// Measure runs every case, way and scenario.
+// Measure runs every case with every strategy, and every scenario, in parallel.
 func Measure(o Options) Report {
 	r := Report{Options: o}
 	var g errgroup.Group
 	g.SetLimit(runtime.GOMAXPROCS(0))
 	for _, d := range Deployments() {
 		for _, load := range o.Loads {
-			r.Cases = append(r.Cases, CaseReport{Name: d.Name, Load: load, Ways: make([]WayReport, len(Ways()))})
+			r.Cases = append(r.Cases, CaseReport{
+				Name: d.Name, Load: load, Ways: make([]StrategyReport, len(Strategies())),
+			})
 		}
 	}
 	scenarios := Scenarios()
@@ -86,9 +88,9 @@
 		c := Deployments()[i/len(o.Loads)]
 		c.Load = r.Cases[i].Load
 		c.Calls = o.Calls
-		for j, way := range Ways() {
+		for j, name := range Strategies() {
 			g.Go(func() error {
-				r.Cases[i].Ways[j] = measureWay(c, way, o.Seeds)
+				r.Cases[i].Ways[j] = measureStrategy(c, name, o.Seeds)
 				return nil
 			})
 		}
@@ -108,17 +110,17 @@
 	return r
 }
 
-func measureWay(c Case, way string, seeds int) WayReport {
+func measureStrategy(c Case, name string, seeds int) StrategyReport {
 	results := make([]Result, seeds)
 	for s := range seeds {
-		results[s] = Run(c, way, uint64(s+1))
+		results[s] = Run(c, name, uint64(s+1))
 	}
 	med := func(f func(Result) float64) float64 { return median(results, f) }
 	share := func(f func(Result) int) float64 {
 		return med(func(r Result) float64 { return float64(f(r)) / float64(max(r.Calls, 1)) })
 	}
-	w := WayReport{
-		Way:                way,
+	w := StrategyReport{
+		Way:                name,
 		P50ms:              med(func(r Result) float64 { return ms(r.P50) }),
 		P99ms:              med(func(r Result) float64 { return ms(r.P99) }),
 		P999ms:             med(func(r Result) float64 { return ms(r.P999) }),
@@ -163,10 +165,10 @@
 	return rep
 }
 
-// compare fills the ratios of one case.
+// compare computes the ratios to the ideal and to two choices.
 func (c *CaseReport) compare() {
-	two := c.Way(WayTwoChoices)
-	best := c.Way(WayIdeal)
+	two := c.Strategy(StrategyTwoChoices)
+	best := c.Strategy(StrategyIdeal)
 	for i := range c.Ways {
 		w := &c.Ways[i]
 		w.P99TimesIdeal = ratio(w.P99ms, best.P99ms)
@@ -175,17 +177,19 @@
 	}
 }
 
-// Way returns the figures of one way.
-func (c *CaseReport) Way(name string) WayReport {
+// Strategy returns the results of the named strategy, or a zero report if there are
+// none.
+func (c *CaseReport) Strategy(name string) StrategyReport {
 	for _, w := range c.Ways {
 		if w.Way == name {
 			return w
 		}
 	}
-	return WayReport{}
+	return StrategyReport{}
 }
 
-// Case returns the figures of one service at one load.
+// Case returns the results for a service at a load, or an empty report if there
+// are none.
 func (r *Report) Case(name string, load float64) *CaseReport {
 	for i := range r.Cases {
 		if r.Cases[i].Name == name && r.Cases[i].Load == load {
@@ -195,7 +199,8 @@
 	return &CaseReport{}
 }
 
-// Scenario returns the figures of one fault.
+// Scenario returns the results of the named scenario, or a zero report if there
+// are none.
 func (r *Report) Scenario(name string) ScenarioReport {
 	for _, s := range r.Scenarios {
 		if s.Name == name {
@@ -205,6 +210,7 @@
 	return ScenarioReport{}
 }
 
+// ratio returns a/b, or 0 if b is 0.
 func ratio(a, b float64) float64 {
 	if b == 0 {
 		return 0
@@ -223,8 +229,8 @@
 	return values[len(values)/2]
 }
 
-// Write writes the report as JSON to path, and beside it one SVG plot of each
-// service.
+// Write writes the report as JSON to path and one SVG plot per service to the
+// same directory. It creates the directory if needed.
 func (r *Report) Write(path string) error {
 	raw, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -232,7 +238,7 @@
 	}
 	dir := filepath.Dir(path)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return errors.Wrap(err, "make directory of report")
+		return errors.Wrap(err, "create report directory")
 	}
 	if err := os.WriteFile(path, append(raw, '\n'), 0o644); err != nil {
 		return errors.Wrap(err, "write report")
--- a/internal/bench/choose/run.go
+++ b/internal/bench/choose/run.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Result is what one way did in one case with one seed.
+// Result holds the outcome of one run: one case, strategy and seed.
 type Result struct {
 	P50, P99, P999 time.Duration
 	Calls          int
@@ -13,18 +13,18 @@
 	Late           int
 	Failed         int
 	Refused        map[string]int
-	// Unsettled is the calls that were neither answered nor refused.
+	// Unsettled counts the calls that were neither answered nor refused.
 	Unsettled int
-	// Goodput is the answers in time by the capacity of the slots, were none
-	// of them ever slow.
+	// Goodput is the number of responses within the deadline, as a fraction of
+	// what the slots could serve if no target ever slowed down.
 	Goodput float64
-	// Local is the share of calls that hosts placed without a coordinator.
+	// Local is the fraction of calls that hosts placed without a coordinator.
 	Local float64
-	// Messages between hosts for each call.
+	// Messages is the number of messages between hosts per call.
 	Messages float64
 }
 
-func (w *world) result() Result {
+func (w *simulation) result() Result {
 	slices.Sort(w.latencies)
 	r := Result{
 		P50:      quantile(w.latencies, 0.5),
@@ -41,11 +41,11 @@
 		r.Refused[string(reason)] = n
 		r.Unsettled -= n
 	}
-	window := float64(w.end-w.warm) / float64(w.c.Mean) * float64(w.c.Targets*w.c.Slots)
+	window := float64(w.end-w.countFrom) / float64(w.c.Mean) * float64(w.c.Targets*w.c.Slots)
 	r.Goodput = float64(w.inWindow) / window
-	if c, ok := w.way.(*coordinated); ok {
-		r.Local = float64(c.local) / float64(w.c.Calls)
-		r.Messages = float64(c.frames) / float64(w.c.Calls)
+	if c, ok := w.strategy.(*coordinated); ok {
+		r.Local = float64(c.placedLocally) / float64(w.c.Calls)
+		r.Messages = float64(c.messages) / float64(w.c.Calls)
 	}
 	return r
 }
@@ -57,46 +57,50 @@
 	return sorted[min(int(q*float64(len(sorted))), len(sorted)-1)]
 }
 
-// Names of the ways.
+// Names of the strategies.
 const (
-	WayRandom      = "random"
-	WayRoundRobin  = "round robin"
-	WayTwoChoices  = "two choices"
-	WayFallback    = "no coordinator"
-	WayCoordinated = "coordinator"
-	WayIdeal       = "one queue"
+	StrategyRandom      = "random"
+	StrategyRoundRobin  = "round robin"
+	StrategyTwoChoices  = "two choices"
+	StrategyFallback    = "no coordinator"
+	StrategyCoordinated = "coordinator"
+	StrategyIdeal       = "one queue"
 )
 
-// Ways returns the names of all ways, the poorest first.
-func Ways() []string {
-	return []string{WayRandom, WayRoundRobin, WayTwoChoices, WayFallback, WayCoordinated, WayIdeal}
+// Strategies returns the names of all strategies, ordered from worst to best expected
+// latency.
+func Strategies() []string {
+	return []string{
+		StrategyRandom, StrategyRoundRobin, StrategyTwoChoices,
+		StrategyFallback, StrategyCoordinated, StrategyIdeal,
+	}
 }
 
-func newWay(name string) way {
+func newStrategy(name string) strategy {
 	switch name {
-	case WayRandom:
+	case StrategyRandom:
 		return &baseline{choose: chooseRandom}
-	case WayRoundRobin:
+	case StrategyRoundRobin:
 		return &baseline{choose: chooseRoundRobin}
-	case WayTwoChoices:
+	case StrategyTwoChoices:
 		return &baseline{choose: chooseTwo}
-	case WayIdeal:
+	case StrategyIdeal:
 		return &ideal{}
-	case WayFallback:
+	case StrategyFallback:
 		return &coordinated{coordinator: func(int) int { return -1 }}
 	default:
 		return &coordinated{coordinator: func(int) int { return 0 }}
 	}
 }
 
-// Run plays one case with one way and one seed.
+// Run simulates a case with the named strategy and a seed.
 func Run(c Case, name string, seed uint64) Result {
-	w := newWorld(c, seed, newWay(name))
+	w := newSimulation(c, seed, newStrategy(name))
 	w.run()
 	return w.result()
 }
 
-// Deployments returns services of today's sizes, without a load.
+// Deployments returns services of realistic sizes, with Load and Calls unset.
 func Deployments() []Case {
 	base := Case{
 		Hosts: 15, Zones: 3, Sigma: 0.8,
--- a/internal/bench/choose/target.go
+++ b/internal/bench/choose/target.go
@@ -8,66 +8,67 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// episode is a time in which a target runs slower.
+// episode is an interval in which a target runs slower.
 type episode struct {
 	from, to time.Duration
 }
 
-// simTarget is a target with a few slots and a first-in-first-out queue.
+// simTarget is a simulated target with a fixed number of slots and a FIFO queue.
 type simTarget struct {
 	id    ports.HostID
 	index int
 	zone  int
-	world *world
+	sim   *simulation
 	rng   *rand.Rand
 
 	busy  int
 	queue []*job
 
-	slow     []episode // in order, made as time goes on
-	failFrom time.Duration
-	shedFrom time.Duration
-	leaves   time.Duration // refuses new calls from then on
-	started  time.Duration // a cold start begins here
-	got      int           // calls that arrived
-	gotAfter int           // calls that arrived after its fault
-	lastGot  time.Duration
-	slotTime time.Duration
+	slow               []episode // in order, generated on demand
+	failFrom           time.Duration
+	shedFrom           time.Duration
+	drainFrom          time.Duration // refuses new calls from this time on
+	started            time.Duration // start time of a cold target; 0 if warm
+	received           int           // attempts received
+	receivedAfterFault int           // attempts received after the fault
+	lastReceived       time.Duration
+	slotTime           time.Duration
 }
 
-// job is one attempt at a target.
+// job is one attempt at a target; answer is called with its result and the
+// target's load.
 type job struct {
 	work   time.Duration
 	answer func(class pick.Class, load int)
 }
 
-// arrive takes an attempt.
+// arrive handles an incoming attempt.
 func (t *simTarget) arrive(j *job) {
-	t.got++
-	t.lastGot = t.world.now
-	if t.failFrom > 0 && t.world.now >= t.failFrom {
-		t.gotAfter++
-		t.world.after(failTime, func() { j.answer(pick.Failed, t.load()) })
+	t.received++
+	t.lastReceived = t.sim.now
+	if t.failFrom > 0 && t.sim.now >= t.failFrom {
+		t.receivedAfterFault++
+		t.sim.after(failTime, func() { j.answer(pick.Failed, t.load()) })
 		return
 	}
-	if t.shedFrom > 0 && t.world.now >= t.shedFrom {
-		t.gotAfter++
+	if t.shedFrom > 0 && t.sim.now >= t.shedFrom {
+		t.receivedAfterFault++
 		j.answer(pick.Shed, t.load())
 		return
 	}
-	if t.leaves > 0 && t.world.now >= t.leaves {
-		t.gotAfter++
+	if t.drainFrom > 0 && t.sim.now >= t.drainFrom {
+		t.receivedAfterFault++
 		j.answer(pick.Leaving, t.load())
 		return
 	}
-	if t.busy >= t.world.c.Slots {
+	if t.busy >= t.sim.c.Slots {
 		t.queue = append(t.queue, j)
 		return
 	}
 	t.start(j)
 }
 
-// failTime is how long a target that fails fast takes to answer.
+// failTime is the response time of a target that fails fast.
 const failTime = 100 * time.Microsecond
 
 func (t *simTarget) load() int { return t.busy + len(t.queue) }
@@ -76,7 +77,7 @@
 	t.busy++
 	d := t.duration(j.work)
 	t.slotTime += d
-	t.world.after(d, func() {
+	t.sim.after(d, func() {
 		t.busy--
 		if len(t.queue) > 0 {
 			next := t.queue[0]
@@ -87,14 +88,15 @@
 	})
 }
 
-// duration is how long the work takes from now, with the slow times in it.
+// duration returns how long the work takes if started now, accounting for slow
+// episodes and for a cold start.
 func (t *simTarget) duration(work time.Duration) time.Duration {
-	at := t.world.now
-	if t.started > 0 && at < t.started+coldFor {
-		warm := float64(at-t.started) / float64(coldFor)
+	at := t.sim.now
+	if t.started > 0 && at < t.started+warmUpTime {
+		warm := float64(at-t.started) / float64(warmUpTime)
 		work = time.Duration(float64(work) * (coldFactor - (coldFactor-1)*warm))
 	}
-	if t.world.c.WholeCall {
+	if t.sim.c.WholeCall {
 		return t.wholeCall(at, work)
 	}
 	left := work
@@ -105,14 +107,14 @@
 		}
 		if at < e.from {
 			if at+left <= e.from {
-				return at + left - t.world.now
+				return at + left - t.sim.now
 			}
 			left -= e.from - at
 			at = e.from
 		}
-		factor := time.Duration(t.world.c.StragglerFactor)
+		factor := time.Duration(t.sim.c.StragglerFactor)
 		if at+left*factor <= e.to {
-			return at + left*factor - t.world.now
+			return at + left*factor - t.sim.now
 		}
 		left -= (e.to - at) / factor
 		at = e.to
@@ -127,23 +129,24 @@
 	if t.episode(i).from > at {
 		return work
 	}
-	return work * time.Duration(t.world.c.StragglerFactor)
+	return work * time.Duration(t.sim.c.StragglerFactor)
 }
 
-// A cold target takes coldFactor times as long at first, and warms up evenly.
+// A cold target initially takes coldFactor times as long; the factor falls
+// linearly to 1 over warmUpTime.
 const (
-	coldFor    = 2 * time.Second
+	warmUpTime = 2 * time.Second
 	coldFactor = 5.0
 )
 
-// episode returns the i-th slow time, which it draws at first use.
+// episode returns the i-th slow episode, generating it on first use.
 func (t *simTarget) episode(i int) episode {
 	for len(t.slow) <= i {
 		last := time.Duration(0)
 		if n := len(t.slow); n > 0 {
 			last = t.slow[n-1].to
 		}
-		c := t.world.c
+		c := t.sim.c
 		if c.StragglerShare <= 0 {
 			return episode{from: never, to: never}
 		}
