--- a/internal/bench/capacity/grants.go
+++ b/internal/bench/capacity/grants.go
@@ -13,11 +13,11 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// grantsPerPoint is the number of grants timed for one point.
+// grantsPerPoint is the number of grants timed per data point.
 const grantsPerPoint = 100_000
 
-// measureGrants drives a coordinator's state as one entry host does, with half of
-// the slots in use.
+// measureGrants measures the CPU time of a coordinator per grant. A single entry
+// host drives the coordinator's state with half of the slots in use.
 func measureGrants(_ context.Context, s *Slopes) error {
 	s.Grant = Slope{Name: "grant", X: "targets of the service", Y: "ns of processor time of a coordinator for a grant and its release"}
 	for _, n := range serviceSizes {
@@ -49,7 +49,7 @@
 	return time.Since(start)
 }
 
-// entryHost asks a coordinator for grants and gives them back in their order.
+// entryHost requests grants from a coordinator and releases them in FIFO order.
 type entryHost struct {
 	coordinator *grant.Coordinator
 	seq         uint64
--- a/internal/bench/capacity/measure.go
+++ b/internal/bench/capacity/measure.go
@@ -12,36 +12,38 @@
 	"github.com/cactusproxy/cactusproxy/internal/bench/membernet"
 )
 
-// Slopes is everything that is measured.
+// Slopes holds all measured cost functions.
 type Slopes struct {
-	// Call is the processor time of a call, in microseconds, over listed targets.
+	// Call is the CPU time that a host adds to a call, in microseconds, by number
+	// of listed targets.
 	Call Slope
-	// TargetMemory is the heap of a daemon, in bytes, over listed targets.
+	// TargetMemory is the heap of a daemon, in bytes, by number of listed targets.
 	TargetMemory Slope
-	// CallMemory is the heap of callers, host and targets, in bytes, over calls
-	// in flight.
+	// CallMemory is the combined heap of callers, host and targets, in bytes, by
+	// number of calls in flight.
 	CallMemory Slope
-	// Grant is the coordinator's processor time of a grant, in nanoseconds, over
-	// the targets of the service.
+	// Grant is the coordinator's CPU time for a grant and its release, in
+	// nanoseconds, by number of targets of the service.
 	Grant Slope
-	// MemberBytes and MemberCPU are what a host sends, in bytes a second, and
-	// uses, in percent of a core, for heartbeats and gossip, over hosts.
+	// MemberBytes and MemberCPU are the cost of heartbeats and gossip for a host,
+	// in bytes sent per second and percent of a core, by number of hosts.
 	MemberBytes, MemberCPU Slope
-	// ChangeBytes and ChangeCPU are what a change of configuration costs: bytes
-	// over all hosts, and microseconds of one host, over hosts.
+	// ChangeBytes and ChangeCPU are the cost of a configuration change, in bytes
+	// sent by all hosts together and microseconds of CPU time per host, by number
+	// of hosts.
 	ChangeBytes, ChangeCPU Slope
-	// Start is the time in milliseconds until a fresh host has the configuration
-	// from its snapshot, over services.
+	// Start is the time until a new host has loaded the configuration from the
+	// snapshot, in milliseconds, by number of services.
 	Start Slope
-	// Claims is the claims a second of all hosts, over the table's writes a
-	// second.
+	// Claims is the rate of claims of all hosts together, per second, by the
+	// table's write limit per second.
 	Claims Slope
-	// KeyMemory and KeyCPU are what issued keys cost at their issuer: bytes of
-	// heap over keys held, and microseconds of processor time for each key.
+	// KeyMemory and KeyCPU are the cost of issued keys at their issuer, in bytes
+	// of heap and microseconds per key, by number of keys held.
 	KeyMemory, KeyCPU Slope
 }
 
-// All returns the slopes in the order of the page.
+// All returns the slopes in the order in which the page lists them.
 func (s Slopes) All() []Slope {
 	return []Slope{
 		s.Call, s.TargetMemory, s.CallMemory, s.Grant, s.MemberBytes, s.MemberCPU,
@@ -49,30 +51,32 @@
 	}
 }
 
-// Sizes that are measured; at least four for each slope.
+// Sizes at which each slope is measured; at least four per slope.
 var (
-	listedSizes  = []int{0, 5_000, 10_000, 15_000}
-	openCalls    = []int{250, 500, 1_000, 2_000}
-	serviceSizes = []int{10, 30, 100, 300}
-	fleetSizes   = []int{15, 50, 100, 150}
-	// memberSizes are past the size up to which hosts heartbeat all others: a
-	// line through both ways of heartbeating would mean nothing.
+	listedSizes    = []int{0, 5_000, 10_000, 15_000}
+	inFlightCounts = []int{250, 500, 1_000, 2_000}
+	serviceSizes   = []int{10, 30, 100, 300}
+	fleetSizes     = []int{15, 50, 100, 150}
+	// memberSizes are all above the size up to which hosts send heartbeats in a
+	// full mesh, because a line fitted across both heartbeat topologies would be
+	// meaningless.
 	memberSizes = []int{50, 75, 100, 125, 150}
 	startSizes  = []int{100, 200, 300, 490}
 	writeLimits = []int{100, 200, 300, 400}
 	keyCounts   = []int{10_000, 20_000, 40_000, 80_000}
 )
 
-// How long or often each point is measured.
+// Duration or number of repetitions per data point.
 const (
 	callsPerPoint   = 20_000
 	changesPerPoint = 2
-	memberTime      = 5 * time.Second
-	claimTime       = 3 * time.Second
+	memberDuration  = 5 * time.Second
+	claimDuration   = 3 * time.Second
 )
 
-// Measure measures the slopes whose step is named, or all if the name is empty,
-// and tells its progress to out. The others stay as they are.
+// Measure runs the measurement step named by only, or all steps if only is empty,
+// and stores the resulting slopes in s. The other slopes in s are left unchanged.
+// Progress is written to out.
 func Measure(ctx context.Context, out io.Writer, s *Slopes, only string) error {
 	found := false
 	for _, step := range []struct {
@@ -100,7 +104,7 @@
 		fmt.Fprintf(out, "measured %s in %s\n", step.name, time.Since(start).Round(time.Second))
 	}
 	if !found {
-		return fmt.Errorf("no step is named %q", only)
+		return fmt.Errorf("unknown measurement step %q", only)
 	}
 	return nil
 }
@@ -123,7 +127,7 @@
 	s.MemberBytes = Slope{Name: "membership-bytes", X: "entry hosts", Y: "bytes/s that a host sends"}
 	s.MemberCPU = Slope{Name: "membership-cpu", X: "entry hosts", Y: "% of a core that a host uses"}
 	for _, n := range memberSizes {
-		r, err := membernet.Run(ctx, n, memberTime)
+		r, err := membernet.Run(ctx, n, memberDuration)
 		if err != nil {
 			return err
 		}
@@ -162,7 +166,9 @@
 func measureClaims(ctx context.Context, s *Slopes) error {
 	s.Claims = Slope{Name: "claims", X: "transactions/s that the table takes", Y: "claims/s of 15 hosts, each with its answer stored"}
 	for _, n := range writeLimits {
-		r, err := claims.RunWith(ctx, claims.Settings{WritesPerSecond: n, For: claimTime, CallRates: []int{10}})
+		r, err := claims.RunWith(ctx, claims.Settings{
+			WritesPerSecond: n, For: claimDuration, CallRates: []int{10},
+		})
 		if err != nil {
 			return err
 		}
--- a/internal/bench/capacity/memory.go
+++ b/internal/bench/capacity/memory.go
@@ -21,7 +21,7 @@
 	"github.com/cactusproxy/cactusproxy/settings"
 )
 
-// heap returns the bytes in use after a collection.
+// heap returns the bytes of heap in use after a garbage collection.
 func heap() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -30,8 +30,9 @@
 	return float64(m.HeapAlloc)
 }
 
-// measureTargetMemory starts a daemon on lists of several lengths. The list
-// itself is there before, so the difference is the daemon's.
+// measureTargetMemory measures the heap of a daemon for target lists of several
+// lengths. The list itself is allocated before the baseline is taken, so that the
+// difference belongs to the daemon.
 func measureTargetMemory(ctx context.Context, s *Slopes) error {
 	s.TargetMemory = Slope{Name: "target-memory", X: "targets listed", Y: "bytes of heap of a daemon"}
 	for _, n := range listedSizes {
@@ -64,7 +65,7 @@
 	run, cancel := context.WithCancel(ctx)
 	done := make(chan error, 1)
 	go func() { done <- d.Run(run) }()
-	err = lab.Wait(ctx, "the list", func() bool { return targetsKnown(d) == listed })
+	err = lab.Wait(ctx, "the list", func() bool { return knownTargets(d) == listed })
 	used := heap() - before
 	cancel()
 	<-done
@@ -72,7 +73,7 @@
 	return used, err
 }
 
-func targetsKnown(d *cactusproxy.Daemon) int {
+func knownTargets(d *cactusproxy.Daemon) int {
 	n := 0
 	for _, list := range d.Board().Targets.Load().ByService {
 		n += len(list)
@@ -92,10 +93,10 @@
 	return out
 }
 
-// longCall is how long the calls run whose memory is measured.
-const longCall = 5 * time.Second
+// longCallDuration is the duration of the calls whose memory is measured.
+const longCallDuration = 5 * time.Second
 
-// measureCallMemory holds calls in flight through one host.
+// measureCallMemory measures the heap while calls through one host are in flight.
 func measureCallMemory(ctx context.Context, s *Slopes) error {
 	s.CallMemory = Slope{Name: "call-memory", X: "calls in flight", Y: "bytes of heap of caller, host and target together"}
 	l, err := lab.New(lab.Options{})
@@ -110,7 +111,9 @@
 	if err := l.WaitReady(ctx, h.ID); err != nil {
 		return err
 	}
-	if _, err := l.ApplyText(ctx, h.ID, wideTemplate(), confignet.Workspace("w", 100_000), nil); err != nil {
+	if _, err := l.ApplyText(
+		ctx, h.ID, highLimitTemplate(), confignet.Workspace("w", 100_000), nil,
+	); err != nil {
 		return err
 	}
 	for i := range 20 {
@@ -121,8 +124,8 @@
 	if err := l.WaitTargets(ctx, h.ID, "w", "s0", 20); err != nil {
 		return err
 	}
-	for _, n := range openCalls {
-		used, err := openCallHeap(ctx, h, n)
+	for _, n := range inFlightCounts {
+		used, err := inFlightCallHeap(ctx, h, n)
 		if err != nil {
 			return err
 		}
@@ -131,16 +134,16 @@
 	return nil
 }
 
-// wideTemplate is the bench's template with targets that take many calls at
-// once.
-func wideTemplate() config.File {
+// highLimitTemplate returns the benchmark template with limits and a timeout that allow
+// many concurrent calls per target.
+func highLimitTemplate() config.File {
 	t := *confignet.Template()
 	t.Text = strings.Replace(t.Text, `"slots": 2, "maxConns": 200`, `"slots": 200, "maxConns": 5000`, 1)
 	t.Text = strings.Replace(t.Text, `"timeout": "5s"`, `"timeout": "60s"`, 1)
 	return t
 }
 
-func openCallHeap(ctx context.Context, h *lab.Host, n int) (float64, error) {
+func inFlightCallHeap(ctx context.Context, h *lab.Host, n int) (float64, error) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	before := heap()
@@ -151,7 +154,7 @@
 			if err != nil {
 				return
 			}
-			req.Header.Set(target.HeaderRunFor, longCall.String())
+			req.Header.Set(target.HeaderRunFor, longCallDuration.String())
 			_, _ = lab.Do(client, req)
 		})
 	}
@@ -161,7 +164,7 @@
 	return used, err
 }
 
-// measureKeys issues keys, redeems each at its issuer and keeps its answer.
+// measureKeys issues keys, redeems each at its issuer and stores its response.
 func measureKeys(ctx context.Context, s *Slopes) error {
 	s.KeyMemory = Slope{Name: "key-memory", X: "issued keys redeemed within the window", Y: "bytes of heap of the issuer"}
 	s.KeyCPU = Slope{Name: "key-cpu", X: "issued keys redeemed within the window", Y: "us to issue, redeem and store one"}
--- a/internal/bench/capacity/page.go
+++ b/internal/bench/capacity/page.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// Rewrite puts the tables of the slopes into the page and their plots beside it.
+// Rewrite updates the generated tables in the Markdown file page and writes the
+// plots to the capacity directory next to it.
 func Rewrite(page string, s Slopes) error {
 	old, err := os.ReadFile(page)
 	if err != nil {
@@ -17,7 +18,7 @@
 	if err != nil {
 		return err
 	}
-	text, err = replaceBetween(text, "target", workOut(s).Table())
+	text, err = replaceBetween(text, "target", estimate(s).Table())
 	if err != nil {
 		return err
 	}
@@ -48,17 +49,17 @@
 	return nil
 }
 
-// replaceBetween replaces what stands between the marks of a name.
-func replaceBetween(text, name, with string) (string, error) {
+// replaceBetween replaces the text between the begin and end markers of a section.
+func replaceBetween(text, name, replacement string) (string, error) {
 	begin := fmt.Sprintf("<!-- begin %s -->\n", name)
 	end := fmt.Sprintf("<!-- end %s -->", name)
 	head, rest, ok := strings.Cut(text, begin)
 	if !ok {
-		return "", fmt.Errorf("no mark %q in the page", strings.TrimSpace(begin))
+		return "", fmt.Errorf("marker %q not found in page", strings.TrimSpace(begin))
 	}
 	_, tail, ok := strings.Cut(rest, end)
 	if !ok {
-		return "", fmt.Errorf("no mark %q in the page", end)
+		return "", fmt.Errorf("marker %q not found in page", end)
 	}
-	return head + begin + with + end + tail, nil
+	return head + begin + replacement + end + tail, nil
 }
--- a/internal/bench/capacity/slope.go
+++ b/internal/bench/capacity/slope.go
@@ -1,6 +1,10 @@
-// Package capacity measures how the cost of each role grows, fits a line to each
-// measurement, works out from the lines what the system needs at its target
-// size, and writes the tables of docs/CAPACITY.md.
+// Package capacity is the capacity model of the system. It measures how the cost
+// of each role grows with its size parameter, fits a line to each measurement,
+// extrapolates the lines to the planned deployment size, and generates the tables
+// and plots of docs/CAPACITY.md.
+//
+// Measure fills a Slopes value with the benchmarks in the sibling packages;
+// Rewrite updates the page from it.
 package capacity
 
 import (
@@ -14,28 +18,28 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Point is one measurement.
+// Point is one measurement: the cost Y at size X.
 type Point struct{ X, Y float64 }
 
-// Slope is one cost as it grows with one size.
+// Slope is a cost measured at several values of a size parameter.
 type Slope struct {
-	// Name identifies the slope in the page and names its plot.
+	// Name identifies the slope in the page and is the base name of its plot file.
 	Name string
-	// X and Y say what was varied and what was measured, with units.
+	// X and Y describe the varied parameter and the measured cost, with units.
 	X, Y   string
 	Points []Point
 }
 
-// Line is a fitted line with the part of the variance that it explains, and the
-// largest distance of a point from it as a share of the largest value.
+// Line is a fitted line. R2 is the coefficient of determination; WorstError is the
+// largest residual as a fraction of the largest measured value.
 type Line struct {
 	Intercept, Slope, R2, WorstError float64
 }
 
-// At returns the line's value.
+// At returns the value of the line at x.
 func (l Line) At(x float64) float64 { return l.Intercept + l.Slope*x }
 
-// Fit fits a line by least squares.
+// Fit fits a line to the points by least squares.
 func (s Slope) Fit() Line {
 	xs := make([]float64, len(s.Points))
 	ys := make([]float64, len(s.Points))
@@ -53,32 +57,34 @@
 	return l
 }
 
-// Row returns the slope as a row of the page's table.
+// Row returns the slope as a row of the page's Markdown table.
 func (s Slope) Row() string {
 	l := s.Fit()
 	points := make([]string, len(s.Points))
 	for i, p := range s.Points {
-		points[i] = fmt.Sprintf("%s: %s", short(p.X), short(p.Y))
+		points[i] = fmt.Sprintf("%s: %s", formatNumber(p.X), formatNumber(p.Y))
 	}
 	return fmt.Sprintf("| %s | %s | %s | %s | %s + %s x | %.2f | %.0f%% |",
-		s.Name, s.X, s.Y, strings.Join(points, "; "), short(l.Intercept), short(l.Slope), l.R2, 100*l.WorstError)
+		s.Name, s.X, s.Y, strings.Join(points, "; "),
+		formatNumber(l.Intercept), formatNumber(l.Slope), l.R2, 100*l.WorstError)
 }
 
-// short writes a number with three significant digits.
-func short(v float64) string {
+// formatNumber formats a number: integers below a million in full, others with three
+// significant digits.
+func formatNumber(v float64) string {
 	if v == math.Trunc(v) && math.Abs(v) < 1e6 {
 		return fmt.Sprintf("%.0f", v)
 	}
 	return fmt.Sprintf("%.3g", v)
 }
 
-// Plot sizes.
+// Dimensions of a plot.
 const (
 	plotWidth  = 12 * vg.Centimeter
 	plotHeight = 8 * vg.Centimeter
 )
 
-// Plot draws the points and the line to an SVG file.
+// Plot draws the points and the fitted line to an SVG file.
 func (s Slope) Plot(file string) error {
 	p := plot.New()
 	p.Title.Text = s.Name
--- a/internal/bench/capacity/slope_test.go
+++ b/internal/bench/capacity/slope_test.go
@@ -28,11 +28,12 @@
 
 func TestTargetSizeFollowsTheSlopes(t *testing.T) {
 	small, large := sampleSlopes(100), sampleSlopes(200)
-	assert.Check(t, workOut(large).Hosts > workOut(small).Hosts)
-	assert.Check(t, strings.Contains(workOut(small).Table(), "| entry |"))
+	assert.Check(t, estimate(large).Hosts > estimate(small).Hosts)
+	assert.Check(t, strings.Contains(estimate(small).Table(), "| entry |"))
 }
 
-// sampleSlopes returns made-up slopes in which a call costs so many microseconds.
+// sampleSlopes returns synthetic slopes in which a call costs callMicros
+// microseconds of CPU time.
 func sampleSlopes(callMicros float64) Slopes {
 	flat := func(y float64) Slope {
 		return Slope{Name: "n", Points: []Point{{1, y}, {2, y}, {3, y}, {4, y}}}
