--- a/internal/bench/claims/claims.go
+++ b/internal/bench/claims/claims.go
@@ -1,6 +1,10 @@
-// Package claims measures what an at-most-once claim costs: how many a second
-// the ledgers of several hosts make under the table's write limit, and how much
-// time a claim adds to a call. It runs in real time, over the in-memory table.
+// Package claims benchmarks at-most-once claims: the rate at which the ledgers of
+// several hosts can make claims under the table's write limit, and the latency
+// that a claim adds to a call.
+//
+// The hosts share one process, an in-memory table and an in-memory network, and
+// run in real time. A closed loop of callers finds the maximum rate; an open loop
+// measures the added latency at given call rates.
 package claims
 
 import (
@@ -22,30 +26,31 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Settings of a measurement; zero fields get the defaults.
+// Settings configure a measurement. Zero fields get the defaults, except Pooled.
 type Settings struct {
-	// Hosts is the number of entry hosts; they share the table's writes evenly.
+	// Hosts is the number of entry hosts. They share the
+	// unpooled part of the write limit evenly.
 	Hosts int
-	// WritesPerSecond is the table's limit of transactions a second.
+	// WritesPerSecond is the table's limit of transactions per second.
 	WritesPerSecond int
-	// TableDelay is the time the table takes to answer.
+	// TableDelay is the response time of the table.
 	TableDelay time.Duration
-	// Pooled is the part of the table's transactions that the coordinator has
-	// for the writes of all hosts, from 0 to 1; the rest is shared evenly.
+	// Pooled is the fraction of the table's transactions, from 0 to 1, that the
+	// coordinator uses for the writes of all hosts; the rest is shared evenly.
 	Pooled float64
-	// PeerDelay is the time one way between two hosts.
+	// PeerDelay is the one-way latency between two hosts.
 	PeerDelay time.Duration
-	// CallRates are the calls a second, over all hosts, at which the time added
-	// by a claim is measured.
+	// CallRates are the call rates, per second over all hosts, at which the
+	// latency added by a claim is measured.
 	CallRates []int
-	// For is how long each measurement takes.
+	// For is the duration of each measurement.
 	For time.Duration
-	// Callers is the number of calls that wait at once on each host when the
-	// most claims a second are measured.
+	// Callers is the number of concurrent callers per host when the maximum rate
+	// of claims is measured.
 	Callers int
 }
 
-// Defaults of Settings.
+// Default values of Settings. DefaultPooled is used by Run only.
 const (
 	DefaultHosts           = 15
 	DefaultWritesPerSecond = 300
@@ -81,31 +86,32 @@
 	return s
 }
 
-// Report is what was measured.
+// Report holds the results of a measurement.
 type Report struct {
 	Settings Settings
-	// ClaimsPerSecond is the most claims a second, each with its answer stored.
+	// ClaimsPerSecond is the maximum rate of claims, each with its response stored.
 	ClaimsPerSecond float64
-	// Most is what a claim added then.
+	// Most is the latency added by a claim at that rate.
 	Most Added
-	// Added is what a claim added at each of the call rates.
+	// Added is the latency added by a claim at each of the call rates.
 	Added []Added
 }
 
-// Added is the time that a claim added to calls.
+// Added is the latency that claims added to calls.
 type Added struct {
-	// CallsPerSecond is the rate of calls; 0 for as many as could be made.
+	// CallsPerSecond is the call rate; 0 means the maximum rate.
 	CallsPerSecond int
 	Calls          int64
-	// Refused counts the calls that got no claim.
+	// Refused counts the calls that did not obtain a claim.
 	Refused int64
 	P50     time.Duration
 	P99     time.Duration
-	// Transactions is the number that the table took a second.
+	// Transactions is the number of transactions per second that the table
+	// committed.
 	Transactions float64
 }
 
-// String returns the report as lines of text.
+// String returns the report as human-readable text of several lines.
 func (r Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d hosts, table limited to %d transactions/s, answers in %v, pooled %.0f%%\n",
@@ -119,13 +125,14 @@
 	return b.String()
 }
 
-// Run measures with the default settings and a coordinator. The error is that
-// of ctx.
+// Run measures with the default settings, including a coordinator that pools
+// writes. It returns an error only if ctx is done.
 func Run(ctx context.Context) (Report, error) {
 	return RunWith(ctx, Settings{Pooled: DefaultPooled})
 }
 
-// RunWith measures with the given settings. The error is that of ctx.
+// RunWith measures with the given settings. It returns an error only if ctx is
+// done.
 func RunWith(ctx context.Context, s Settings) (Report, error) {
 	s = s.withDefaults()
 	r := Report{Settings: s}
@@ -139,29 +146,32 @@
 	return r, errors.Wrap(ctx.Err(), "measure claims")
 }
 
-// bench is a set of hosts under load.
+// bench is the set of ledgers under load and the recorded latencies.
 type bench struct {
 	settings Settings
 	ledgers  []*ledger.Ledger
 	serial   atomic.Uint64
 	refused  atomic.Int64
 
-	mu    sync.Mutex
-	times *hdrhistogram.Histogram
+	mu        sync.Mutex
+	latencies *hdrhistogram.Histogram
 }
 
-// Range and precision of the histogram of times, in microseconds.
+// Range of the latency histogram in microseconds, and its significant significantDigits.
 const (
-	shortest = 1
-	longest  = 60_000_000
-	digits   = 3
+	minLatencyMicros  = 1
+	maxLatencyMicros  = 60_000_000
+	significantDigits = 3
 )
 
-// measure starts fresh hosts, puts them under load, and reports.
+// measure starts new hosts, runs load against them, and reports the result.
 func measure(ctx context.Context, s Settings, load func(context.Context, *bench)) Added {
 	table := store.New(store.Limits{WritesPerSecond: s.WritesPerSecond})
 	table.SetFaults(store.Faults{Delay: s.TableDelay})
-	b := &bench{settings: s, times: hdrhistogram.New(shortest, longest, digits)}
+	b := &bench{
+		settings:  s,
+		latencies: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
+	}
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	net := peernet.New()
@@ -183,8 +193,8 @@
 
 func (b *bench) host(i int, table ports.Table, net *peernet.Network) *ledger.Ledger {
 	id := hostID(i)
-	all := float64(b.settings.WritesPerSecond)
-	pooled := all * b.settings.Pooled
+	total := float64(b.settings.WritesPerSecond)
+	pooled := total * b.settings.Pooled
 	l := ledger.New(ledger.Deps{
 		Table:       table,
 		Link:        net.Join(id),
@@ -192,7 +202,7 @@
 		Incarnation: 1,
 		Coordinator: func() ports.HostID { return hostID(0) },
 		Options: ledger.Options{
-			WriteRate: (all - pooled) / float64(b.settings.Hosts),
+			WriteRate: (total - pooled) / float64(b.settings.Hosts),
 			PoolRate:  pooled,
 		},
 	})
@@ -204,17 +214,17 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return Added{
-		Calls:        b.times.TotalCount() + b.refused.Load(),
+		Calls:        b.latencies.TotalCount() + b.refused.Load(),
 		Refused:      b.refused.Load(),
-		P50:          micros(b.times.ValueAtQuantile(50)),
-		P99:          micros(b.times.ValueAtQuantile(99)),
+		P50:          micros(b.latencies.ValueAtQuantile(50)),
+		P99:          micros(b.latencies.ValueAtQuantile(99)),
 		Transactions: float64(commits) / b.settings.For.Seconds(),
 	}
 }
 
 func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// closedLoop has a fixed number of callers on each host call all the time.
+// closedLoop runs a fixed number of callers per host that call back to back.
 func closedLoop(ctx context.Context, b *bench) {
 	var wg sync.WaitGroup
 	for _, l := range b.ledgers {
@@ -229,7 +239,7 @@
 	wg.Wait()
 }
 
-// openLoop calls at a rate, at random times, on random hosts.
+// openLoop makes calls on random hosts with Poisson arrivals at the given rate.
 func openLoop(ctx context.Context, b *bench, perSecond int) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -252,7 +262,8 @@
 
 var answer = &ledger.Answer{Status: 201, Body: []byte(strings.Repeat("x", 200))}
 
-// call makes one call up to the point of sending, and ends its claim at once.
+// call claims one call, records how long that took, and finishes the claim
+// immediately instead of sending the call to a target.
 func (b *bench) call(ctx context.Context, l *ledger.Ledger) {
 	ctx, cancel := context.WithTimeout(ctx, callDeadline)
 	defer cancel()
@@ -273,7 +284,7 @@
 	}
 	took := time.Since(began)
 	b.mu.Lock()
-	_ = b.times.RecordValue(took.Microseconds())
+	_ = b.latencies.RecordValue(took.Microseconds())
 	b.mu.Unlock()
 	c.Finish(ctx, answer)
 }
--- a/internal/bench/claims/claims_test.go
+++ b/internal/bench/claims/claims_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A short measurement makes claims at each rate; its figures are not judged,
-// for they hang on the machine.
+// Checks that a short measurement makes claims at each rate. The values are not
+// checked because they depend on the machine.
 func TestRunMeasures(t *testing.T) {
 	r, err := RunWith(context.Background(), Settings{Hosts: 3, For: 200 * time.Millisecond, CallRates: []int{100}})
 	assert.NilError(t, err)
