--- a/internal/bench/confignet/bench.go
+++ b/internal/bench/confignet/bench.go
@@ -15,27 +15,27 @@
 	"github.com/cactusproxy/cactusproxy/internal/standin/store"
 )
 
-// Scenario is what goes wrong around a change.
+// Scenario is a fault that is injected around a configuration change.
 type Scenario string
 
-// The scenarios.
+// Scenarios of a measurement.
 const (
-	// StoreUp: nothing goes wrong.
+	// StoreUp injects no fault.
 	StoreUp Scenario = "store up"
-	// StoreFails: the store is out from the moment of the commit on.
+	// StoreFails makes the store unavailable right after the commit.
 	StoreFails Scenario = "store fails after commit"
-	// PushLost: the store is out from the commit on, and the committing host
-	// does not reach a random half of the hosts.
+	// PushLost makes the store unavailable right after the commit and drops the
+	// messages of the committing host to a random half of the hosts.
 	PushLost Scenario = "store fails, half the pushes lost"
-	// HostLost: the committing host is cut off right after the commit, before
-	// any push left; the store is up.
+	// HostLost isolates the committing host right after the commit, before any
+	// push is sent. The store stays available.
 	HostLost Scenario = "committing host lost after commit"
 )
 
 // Scenarios returns all scenarios.
 func Scenarios() []Scenario { return []Scenario{StoreUp, StoreFails, PushLost, HostLost} }
 
-// Options says what to measure.
+// Options configure a measurement.
 type Options struct {
 	Hosts    int
 	Changes  int
@@ -43,21 +43,22 @@
 	Seed     uint64
 }
 
-// Report is what was measured. Times run from the moment at which the operator
-// is told that the change is accepted, to the moment at which a host has it in
-// force; there is one time for each change and host.
+// Report holds the results of a measurement. Latencies run from the time the
+// operator gets the reply that the change is accepted until it is in force on a
+// host, with one sample per change and host other than the committing one.
 type Report struct {
 	Options
 	P50, P99, Worst time.Duration
-	// BytesPerChange is the bodies of all messages between hosts for one
-	// change, in bytes.
+	// BytesPerChange is the total size of the message bodies sent between hosts
+	// per change.
 	BytesPerChange uint64
-	// CPUPerChange is the processor time of the whole process for one change,
-	// fakes included, divided by the hosts.
+	// CPUPerChange is the CPU time of the whole process per change and host. It
+	// includes the fakes.
 	CPUPerChange time.Duration
-	// IdleBytes is what one host sends and receives a second without changes.
+	// IdleBytes is the number of bytes per second that a host sends while there
+	// are no changes.
 	IdleBytes uint64
-	// OutageBytes is the same while the store is out.
+	// OutageBytes is IdleBytes while the store is unavailable.
 	OutageBytes uint64
 }
 
@@ -68,26 +69,28 @@
 }
 
 const (
-	// settle is the time that the fleet gets before and between changes.
-	settle = 5 * time.Second
-	// look is the resolution of the measured times up to closeLook, and
-	// lookLate after it.
-	look      = 100 * time.Microsecond
-	closeLook = 20 * time.Millisecond
-	lookLate  = 2 * time.Millisecond
-	// giveUp is the longest that a change is waited for.
-	giveUp = 30 * time.Second
-	// idleTime is the time over which the idle traffic is measured.
-	idleTime = 10 * time.Second
-	// storeDelay is the time that the platform takes for an operation.
+	// settleTime is the time allowed for the fleet to settleTime before and between
+	// changes.
+	settleTime = 5 * time.Second
+	// pollInterval is the poll interval, and so the resolution of the latencies, until
+	// closeLook has elapsed; lookLate is the interval after that.
+	pollInterval       = 100 * time.Microsecond
+	finePollPeriod     = 20 * time.Millisecond
+	coarsePollInterval = 2 * time.Millisecond
+	// waitTimeout is the timeout for a change to be in force or a host to be ready.
+	waitTimeout = 30 * time.Second
+	// trafficPeriod is the duration over which idle traffic is measured.
+	trafficPeriod = 10 * time.Second
+	// storeDelay is the latency of a platform operation.
 	storeDelay = 2 * time.Millisecond
 )
 
-// ErrNotInForce says that a host did not get a change.
-var ErrNotInForce = errors.New("change not in force in time")
+// ErrNotInForce reports that a change was not in force on all hosts before the
+// timeout.
+var ErrNotInForce = errors.New("change not in force before the timeout")
 
-// Run measures one fleet in one scenario. In a synctest bubble it takes no real
-// time to speak of; else it takes about settle for each change.
+// Run measures one fleet in one scenario. In a synctest bubble it needs almost no
+// wall-clock time; otherwise it takes about settle per change.
 func Run(ctx context.Context, opt Options) (Report, error) {
 	rep := Report{Options: opt}
 	f := Empty()
@@ -95,12 +98,12 @@
 	f.Store.SetFaults(store.Faults{Delay: storeDelay})
 	f.StartAll(opt.Hosts)
 	defer f.Close()
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	rep.IdleBytes = f.traffic()
 	f.Store.SetFaults(store.Faults{Down: true, Delay: storeDelay})
 	rep.OutageBytes = f.traffic()
 	f.Store.SetFaults(store.Faults{Delay: storeDelay})
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	b := &bench{f: f, opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 1))}
 	for i := range opt.Changes {
 		if err := ctx.Err(); err != nil {
@@ -118,44 +121,45 @@
 	return rep, nil
 }
 
-// traffic returns the bytes that one host sends a second, on average over
-// idleTime.
+// traffic returns the average number of bytes per second that a host sends,
+// measured over idleTime.
 func (f *Fleet) traffic() uint64 {
 	before := f.SentBytes()
-	time.Sleep(idleTime)
-	return (f.SentBytes() - before) / uint64(len(f.Hosts())) / uint64(idleTime/time.Second)
+	time.Sleep(trafficPeriod)
+	return (f.SentBytes() - before) / uint64(len(f.Hosts())) / uint64(trafficPeriod/time.Second)
 }
 
-// bench is a run under way.
+// bench is the state of a running measurement.
 type bench struct {
-	f     *Fleet
-	opt   Options
-	rng   *rand.Rand
-	times []time.Duration
-	bytes uint64
-	cpu   time.Duration
+	f         *Fleet
+	opt       Options
+	rng       *rand.Rand
+	latencies []time.Duration
+	bytes     uint64
+	cpu       time.Duration
 }
 
-// change makes one change and waits until it is in force everywhere.
+// change applies one change on a random host and waits until it is in force on all
+// hosts.
 func (b *bench) change(ctx context.Context, base uint64) error {
 	hosts := b.f.Hosts()
 	from := hosts[b.rng.IntN(len(hosts))]
-	b.breakBefore(from, hosts)
-	sent, cpu := b.f.SentBytes(), processorTime()
+	b.injectBeforeCommit(from, hosts)
+	sent, cpu := b.f.SentBytes(), cpuTime()
 	req := Change(fmt.Sprintf("c%d", base+1), "bench", "w", base, int(base)+1)
 	out := from.Controller.Apply(ctx, req)
 	if out.Result != config.ResultApplied {
 		return errors.Newf("change %d: %s %s", base+1, out.Result, out.Detail)
 	}
-	b.breakAfter(from)
+	b.injectAfterCommit(from)
 	err := b.wait(out.Change.Sequence, from, hosts)
 	b.bytes += b.f.SentBytes() - sent
-	b.cpu += processorTime() - cpu
-	b.mend()
+	b.cpu += cpuTime() - cpu
+	b.clearFaults()
 	return err
 }
 
-func (b *bench) breakBefore(from *Host, hosts []*Host) {
+func (b *bench) injectBeforeCommit(from *Host, hosts []*Host) {
 	switch b.opt.Scenario {
 	case HostLost:
 		b.f.CutPeers(from)
@@ -168,7 +172,7 @@
 	}
 }
 
-func (b *bench) breakAfter(from *Host) {
+func (b *bench) injectAfterCommit(from *Host) {
 	switch b.opt.Scenario {
 	case StoreFails, PushLost:
 		b.f.Store.SetFaults(store.Faults{Down: true, Delay: storeDelay})
@@ -177,48 +181,50 @@
 	}
 }
 
-func (b *bench) mend() {
+func (b *bench) clearFaults() {
 	b.f.Store.SetFaults(store.Faults{Delay: storeDelay})
 	b.f.Heal()
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 }
 
-// wait records when each host has the change in force.
+// wait polls until the change is in force on all other hosts and records the
+// latency of each.
 func (b *bench) wait(sequence uint64, from *Host, hosts []*Host) error {
 	start := time.Now()
 	pending := slices.DeleteFunc(slices.Clone(hosts), func(h *Host) bool { return h == from })
 	for len(pending) > 0 {
-		if time.Since(start) > giveUp {
+		if time.Since(start) > waitTimeout {
 			return errors.Wrapf(ErrNotInForce, "%d of %d hosts", len(pending), len(hosts))
 		}
 		pending = slices.DeleteFunc(pending, func(h *Host) bool {
 			done := h.Sequence() >= sequence
 			if done {
-				b.times = append(b.times, time.Since(start))
+				b.latencies = append(b.latencies, time.Since(start))
 			}
 			return done
 		})
-		if time.Since(start) < closeLook {
-			time.Sleep(look)
+		if time.Since(start) < finePollPeriod {
+			time.Sleep(pollInterval)
 		} else {
-			time.Sleep(lookLate)
+			time.Sleep(coarsePollInterval)
 		}
 	}
 	return nil
 }
 
-// quantile returns the nearest-rank quantile of the times.
+// quantile returns the nearest-rank quantile of the latencies.
 func (b *bench) quantile(q float64) time.Duration {
-	if len(b.times) == 0 {
+	if len(b.latencies) == 0 {
 		return 0
 	}
-	slices.Sort(b.times)
-	rank := int(q*float64(len(b.times)) + 0.999999)
-	return b.times[min(max(rank, 1), len(b.times))-1]
+	slices.Sort(b.latencies)
+	rank := int(q*float64(len(b.latencies)) + 0.999999)
+	return b.latencies[min(max(rank, 1), len(b.latencies))-1]
 }
 
-// processorTime returns the processor time that the process has used.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time used by the process so far, or 0 if it cannot
+// be read.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -226,7 +232,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Table returns reports as a table in Markdown.
+// Table formats reports as a Markdown table.
 func Table(reports []Report) string {
 	var b strings.Builder
 	fmt.Fprint(&b, "| hosts | scenario | p50 | p99 | worst | bytes a change |\n| --- | --- | --- | --- | --- | --- |\n")
@@ -236,4 +242,4 @@
 	return b.String()
 }
 
-func round(d time.Duration) time.Duration { return d.Round(look) }
+func round(d time.Duration) time.Duration { return d.Round(pollInterval) }
--- a/internal/bench/confignet/bench_test.go
+++ b/internal/bench/confignet/bench_test.go
@@ -10,29 +10,32 @@
 	"gotest.tools/v3/assert"
 )
 
-// times is the number of times taken for each fleet and scenario, a change on
-// a host being one; the figures in docs/design/configuration.md took 1500.
-var times = flag.Int("times", 450, "times to take for each fleet and scenario")
+// samples is the number of samples per fleet and scenario; each change gives about
+// one sample per host. The results in docs/design/configuration.md use 1500.
+var samples = flag.Int("times", 450, "number of samples per fleet and scenario")
 
 const (
-	// bound is the time in which an accepted change has to be in force.
-	bound = 3 * time.Second
-	// repaired is the time by which lost pushes are made up for in the cases
-	// measured; half of it was the worst.
-	repaired = time.Second
+	// maxLatency is the required limit for an accepted change to be in force and for a
+	// host to be ready.
+	maxLatency = 3 * time.Second
+	// maxRepairTime is the limit for hosts to recover from lost pushes, about twice the
+	// worst case of these scenarios.
+	maxRepairTime = time.Second
 )
 
-// TestTimeInForce measures the fleets of the brief and prints the figures with
-// -v. The bound is asserted; the time is virtual.
+// TestTimeInForce measures fleets of the required sizes in virtual time and checks
+// the worst latency. The results are printed with -v.
 func TestTimeInForce(t *testing.T) {
 	var reports []Report
 	for _, hosts := range []int{15, 50, 150} {
 		for _, scenario := range Scenarios() {
 			synctest.Test(t, func(t *testing.T) {
-				rep, err := Run(context.Background(), Options{Hosts: hosts, Changes: *times / hosts, Scenario: scenario, Seed: 1})
+				rep, err := Run(context.Background(), Options{
+					Hosts: hosts, Changes: *samples / hosts, Scenario: scenario, Seed: 1,
+				})
 				assert.NilError(t, err)
-				time.Sleep(settle) // messages on their way end in the bubble
-				assert.Check(t, rep.Worst <= repaired, "%s", rep)
+				time.Sleep(settleTime) // let messages in flight arrive inside the bubble
+				assert.Check(t, rep.Worst <= maxRepairTime, "%s", rep)
 				t.Log(rep)
 				reports = append(reports, rep)
 			})
@@ -45,7 +48,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		reports, err := RunStart(context.Background(), 490)
 		assert.NilError(t, err)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		for _, rep := range reports {
 			t.Log(rep)
 		}
@@ -57,10 +60,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		reports, err := RunReady(15, 20)
 		assert.NilError(t, err)
-		time.Sleep(settle)
+		time.Sleep(settleTime)
 		for _, rep := range reports {
 			t.Log(rep)
-			assert.Check(t, rep.Worst <= bound, "%s", rep)
+			assert.Check(t, rep.Worst <= maxLatency, "%s", rep)
 		}
 	})
 }
--- a/internal/bench/confignet/files.go
+++ b/internal/bench/confignet/files.go
@@ -7,10 +7,11 @@
 	"github.com/cactusproxy/cactusproxy/controller/config"
 )
 
-// servicesPerWorkspace is the number of services of a workspace of Workspace.
+// servicesPerWorkspace is the number of services in the template.
 const servicesPerWorkspace = 5
 
-// Template returns a template with one parameter and five services.
+// Template returns a template with five services and the parameters maxInFlight
+// and hostNames.
 func Template() *config.File {
 	var services strings.Builder
 	for i := range servicesPerWorkspace {
@@ -34,7 +35,7 @@
 }`}
 }
 
-// Workspace returns a workspace file of that template.
+// Workspace returns a workspace file that uses Template.
 func Workspace(name string, maxInFlight int, hostNames ...string) config.File {
 	names := ""
 	if len(hostNames) > 0 {
@@ -45,7 +46,8 @@
 		name, maxInFlight, names)}
 }
 
-// Change returns a request to set a workspace to what Workspace returns.
+// Change returns a request to apply the file returned by Workspace, together with
+// its template.
 func Change(id, who, name string, base uint64, maxInFlight int) config.ApplyRequest {
 	return config.ApplyRequest{
 		Request:   config.Request{ID: id, Who: who, Base: base},
--- a/internal/bench/confignet/fleet.go
+++ b/internal/bench/confignet/fleet.go
@@ -1,7 +1,10 @@
-// Package confignet measures how fast a configuration change is in force on a
-// fleet of hosts, and what it costs. The hosts run the real controllers; the
-// platform and the network between hosts are in-memory fakes. In a synctest
-// bubble all times are virtual.
+// Package confignet benchmarks configuration distribution: how fast a change takes
+// effect on a fleet of hosts, and what it costs in traffic and CPU time. Fleet is
+// also used by the tests of the configuration controller.
+//
+// The hosts run the production controllers; the platform and the network between
+// hosts are in-memory fakes with fault injection. In a synctest bubble all times
+// are virtual.
 package confignet
 
 import (
@@ -22,27 +25,27 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// Fleet is a number of hosts in one process.
+// Fleet is a set of hosts in one process.
 type Fleet struct {
 	Net   *peernet.Network
 	Store *store.Store
-	// Configure, if set, changes a controller before it runs.
+	// Configure, if set, is called with each controller before it runs.
 	Configure func(*config.Controller)
-	// Seed makes the hosts' random choices repeatable.
+	// Seed makes the random choices of the hosts reproducible.
 	Seed uint64
 
-	mu    sync.Mutex
-	hosts []*Host
-	slow  map[ports.HostID]time.Duration
-	cuts  map[pair]bool
-	all   atomic.Uint64
-	sent  atomic.Uint64
+	mu        sync.Mutex
+	hosts     []*Host
+	sendDelay map[ports.HostID]time.Duration
+	cuts      map[link]bool
+	started   atomic.Uint64
+	sent      atomic.Uint64
 }
 
-// pair is a direction between two hosts.
-type pair struct{ from, to ports.HostID }
+// link is a directed link between two hosts.
+type link struct{ from, to ports.HostID }
 
-// Host is one host of a fleet.
+// Host is a host of a fleet.
 type Host struct {
 	ID         ports.HostID
 	Zone       string
@@ -50,56 +53,58 @@
 	Metrics    *metrics.Set
 	Controller *config.Controller
 
-	platform *gate
+	platform *faultyPlatform
 	offset   atomic.Int64
 	cancel   context.CancelFunc
 	done     chan error
 }
 
-// zones is the number of availability zones that hosts are spread over.
+// zones is the number of availability zones of a fleet.
 const zones = 3
 
-// NewFleet starts hosts in three availability zones.
+// NewFleet starts a fleet of hosts, spread over three availability zones.
 func NewFleet(hosts int) *Fleet {
 	f := Empty()
 	f.StartAll(hosts)
 	return f
 }
 
-// Empty returns a fleet that can still be configured.
+// Empty returns a fleet without hosts, so that its fields can be set before hosts
+// are started.
 func Empty() *Fleet {
 	f := &Fleet{
-		Net:   peernet.New(),
-		Store: store.New(store.Limits{}),
-		slow:  make(map[ports.HostID]time.Duration),
-		cuts:  make(map[pair]bool),
+		Net:       peernet.New(),
+		Store:     store.New(store.Limits{}),
+		sendDelay: make(map[ports.HostID]time.Duration),
+		cuts:      make(map[link]bool),
 	}
 	f.Net.Delay = f.delay
 	return f
 }
 
-// StartAll adds several hosts.
+// StartAll starts the given number of hosts.
 func (f *Fleet) StartAll(hosts int) {
 	for range hosts {
 		f.Start()
 	}
 }
 
-// delay is the time of a message between two hosts.
+// delay returns the current latency of a message between two hosts.
 func (f *Fleet) delay(from, to ports.HostID) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return oneWay(from, to) + f.slow[from]
+	return oneWay(from, to) + f.sendDelay[from]
 }
 
-// SlowDown delays all that a host sends from now on.
+// SlowDown adds a delay to all messages that a host sends, until Heal.
 func (f *Fleet) SlowDown(h *Host, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.slow[h.ID] = d
+	f.sendDelay[h.ID] = d
 }
 
-// oneWay is the delay between two hosts, whose IDs end with their zone.
+// oneWay returns the network latency between two hosts, whose IDs end with the
+// letter of their zone.
 func oneWay(from, to ports.HostID) time.Duration {
 	if from[len(from)-1] == to[len(to)-1] {
 		return 100 * time.Microsecond
@@ -107,9 +112,9 @@
 	return 500 * time.Microsecond
 }
 
-// Start adds a new host, which knows nothing yet.
+// Start adds a new host without any configuration and runs its controller.
 func (f *Fleet) Start() *Host {
-	n := f.all.Add(1)
+	n := f.started.Add(1)
 	zone := string(rune('a' + n%zones))
 	ctx, cancel := context.WithCancel(context.Background())
 	h := &Host{
@@ -117,13 +122,13 @@
 		Zone:     zone,
 		Board:    blackboard.New(),
 		Metrics:  metrics.New(),
-		platform: &gate{table: f.Store, objects: f.Store.Objects()},
+		platform: &faultyPlatform{table: f.Store, objects: f.Store.Objects()},
 		cancel:   cancel,
 		done:     make(chan error, 1),
 	}
 	link := &countingLink{Link: f.Net.Join(h.ID), sent: &f.sent}
 	h.Controller = config.New(config.Deps{
-		Board: h.Board, Table: h.platform, Objects: gateObjects{h.platform}, Link: link,
+		Board: h.Board, Table: h.platform, Objects: faultyObjects{h.platform}, Link: link,
 		Metrics: h.Metrics, Log: zap.NewNop(), Now: h.now, Rand: rand.New(rand.NewPCG(f.Seed, n)),
 	})
 	if f.Configure != nil {
@@ -132,12 +137,12 @@
 	f.mu.Lock()
 	f.hosts = append(f.hosts, h)
 	f.mu.Unlock()
-	f.shareMembers()
+	f.publishMembers()
 	go func() { h.done <- h.Controller.Run(ctx) }()
 	return h
 }
 
-// Stop ends a host and takes it off the others' lists.
+// Stop stops a host and removes it from the members of the others.
 func (f *Fleet) Stop(h *Host) {
 	f.Net.Leave(h.ID)
 	h.cancel()
@@ -151,26 +156,26 @@
 		}
 	}
 	f.mu.Unlock()
-	f.shareMembers()
+	f.publishMembers()
 }
 
-// Close ends all hosts.
+// Close stops all hosts.
 func (f *Fleet) Close() {
 	for _, h := range f.Hosts() {
 		f.Stop(h)
 	}
 }
 
-// Hosts returns the hosts that run.
+// Hosts returns the running hosts.
 func (f *Fleet) Hosts() []*Host {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]*Host(nil), f.hosts...)
 }
 
-// shareMembers tells every host of all others. Heartbeats are not modelled:
-// hosts learn of each other's sequence by the controller's own messages.
-func (f *Fleet) shareMembers() {
+// publishMembers publishes the current members to every host. Heartbeats are not
+// simulated: hosts learn each other's sequence from the controller's messages.
+func (f *Fleet) publishMembers() {
 	hosts := f.Hosts()
 	members := make([]blackboard.Member, len(hosts))
 	for i, h := range hosts {
@@ -181,13 +186,13 @@
 	}
 }
 
-// Isolate cuts the host off from all others and from the platform.
+// Isolate disconnects a host from all others and from the platform.
 func (f *Fleet) Isolate(h *Host) {
 	f.CutPeers(h)
 	h.CutPlatform()
 }
 
-// CutPeers cuts the host off from all others.
+// CutPeers disconnects a host from all others.
 func (f *Fleet) CutPeers(h *Host) {
 	for _, other := range f.Hosts() {
 		f.CutLink(h, other)
@@ -195,19 +200,20 @@
 	}
 }
 
-// CutLink drops what one host sends to another.
+// CutLink drops all messages from one host to another.
 func (f *Fleet) CutLink(from, to *Host) {
 	f.Net.Cut(from.ID, to.ID)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cuts[pair{from.ID, to.ID}] = true
+	f.cuts[link{from.ID, to.ID}] = true
 }
 
-// Heal ends all cuts.
+// Heal restores all links, including those to the platform, and removes the delays
+// set by SlowDown.
 func (f *Fleet) Heal() {
 	f.Net.Heal()
 	f.mu.Lock()
-	clear(f.slow)
+	clear(f.sendDelay)
 	clear(f.cuts)
 	f.mu.Unlock()
 	for _, h := range f.Hosts() {
@@ -215,46 +221,51 @@
 	}
 }
 
-// Linked reports whether two hosts reach each other without delay.
+// Linked reports whether two hosts are connected in both directions, with no delay
+// set by SlowDown.
 func (f *Fleet) Linked(a, b *Host) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.slow[a.ID]+f.slow[b.ID] == 0 && !f.cuts[pair{a.ID, b.ID}] && !f.cuts[pair{b.ID, a.ID}]
+	return f.sendDelay[a.ID]+f.sendDelay[b.ID] == 0 &&
+		!f.cuts[link{a.ID, b.ID}] && !f.cuts[link{b.ID, a.ID}]
 }
 
-// Severed reports whether no message passes between two hosts and back.
+// Severed reports whether the link between two hosts is cut in at least one
+// direction, so that no round trip is possible.
 func (f *Fleet) Severed(a, b *Host) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cuts[pair{a.ID, b.ID}] || f.cuts[pair{b.ID, a.ID}]
+	return f.cuts[link{a.ID, b.ID}] || f.cuts[link{b.ID, a.ID}]
 }
 
-// SentBytes returns the bytes of all message bodies so far.
+// SentBytes returns the total size of the message bodies sent between hosts so
+// far, replies included.
 func (f *Fleet) SentBytes() uint64 { return f.sent.Load() }
 
-// CutPlatform makes the platform's answers to this host hang.
+// CutPlatform makes the host's platform operations hang until their context is
+// done.
 func (h *Host) CutPlatform() { h.platform.cut.Store(true) }
 
-// RestorePlatform ends CutPlatform; what hangs goes on hanging.
+// RestorePlatform ends CutPlatform. Operations that already hang continue to do so.
 func (h *Host) RestorePlatform() { h.platform.cut.Store(false) }
 
-// DelayCommit loses the answer to the host's next commit, which takes effect
-// only after d.
-func (h *Host) DelayCommit(d time.Duration) { h.platform.late.Store(int64(d)) }
+// DelayCommit makes the host's next commit return an uncertain result and take
+// effect only after d.
+func (h *Host) DelayCommit(d time.Duration) { h.platform.commitDelay.Store(int64(d)) }
 
-// PlatformCut reports whether the platform's answers to this host hang.
+// PlatformCut reports whether the host is disconnected from the platform.
 func (h *Host) PlatformCut() bool { return h.platform.cut.Load() }
 
-// Jump moves the host's clock on, as it looks after a pause.
+// Jump moves the host's clock forward, as if the host had been paused.
 func (h *Host) Jump(d time.Duration) { h.offset.Add(int64(d)) }
 
 func (h *Host) now() time.Time { return time.Now().Add(time.Duration(h.offset.Load())) }
 
-// Sequence returns the sequence in force on the host.
+// Sequence returns the configuration sequence in force on the host.
 func (h *Host) Sequence() uint64 { return h.Board.Config.Load().Sequence }
 
-// Ready reports whether the host takes calls.
+// Ready reports whether the host is ready to serve calls.
 func (h *Host) Ready() bool { return h.Board.Status.Load().Ready() }
 
-// Reads returns the operations that the host's platform took.
+// Reads returns the number of read operations that the host sent to the platform.
 func (h *Host) Reads() uint64 { return h.platform.reads.Load() }
--- a/internal/bench/confignet/platform.go
+++ b/internal/bench/confignet/platform.go
@@ -11,20 +11,20 @@
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
-// gate is one host's way to the platform; it can be cut.
-type gate struct {
+// faultyPlatform is a host's connection to the platform, with fault injection.
+type faultyPlatform struct {
 	table   ports.Table
 	objects ports.ObjectStore
 	cut     atomic.Bool
 	reads   atomic.Uint64
-	// late is how long the next commit takes to take effect after its answer
-	// was lost.
-	late atomic.Int64
+	// commitDelay, if not zero, is the delay in nanoseconds after which the next commit
+	// takes effect; its response is lost.
+	commitDelay atomic.Int64
 }
 
-// pass waits for ctx if the gate is cut: no answer comes, as from a network
-// that drops packets.
-func (g *gate) pass(ctx context.Context) error {
+// pass blocks until ctx is done if the connection is cut, like a network that
+// drops packets.
+func (g *faultyPlatform) pass(ctx context.Context) error {
 	if !g.cut.Load() {
 		return nil
 	}
@@ -32,7 +32,7 @@
 	return errors.Mark(ctx.Err(), ports.ErrUnavailable)
 }
 
-func (g *gate) Get(ctx context.Context, keys ...string) ([]ports.Row, error) {
+func (g *faultyPlatform) Get(ctx context.Context, keys ...string) ([]ports.Row, error) {
 	if err := g.pass(ctx); err != nil {
 		return nil, err
 	}
@@ -40,7 +40,9 @@
 	return g.table.Get(ctx, keys...)
 }
 
-func (g *gate) Scan(ctx context.Context, prefix, after string, limit int) ([]ports.Row, error) {
+func (g *faultyPlatform) Scan(
+	ctx context.Context, prefix, after string, limit int,
+) ([]ports.Row, error) {
 	if err := g.pass(ctx); err != nil {
 		return nil, err
 	}
@@ -48,21 +50,21 @@
 	return g.table.Scan(ctx, prefix, after, limit)
 }
 
-func (g *gate) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
+func (g *faultyPlatform) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
 	if err := g.pass(ctx); err != nil {
 		return ports.CommitResult{}, err
 	}
-	late := time.Duration(g.late.Swap(0))
-	if late == 0 {
+	delay := time.Duration(g.commitDelay.Swap(0))
+	if delay == 0 {
 		return g.table.Commit(ctx, ops...)
 	}
-	time.AfterFunc(late, func() { _, _ = g.table.Commit(context.WithoutCancel(ctx), ops...) })
+	time.AfterFunc(delay, func() { _, _ = g.table.Commit(context.WithoutCancel(ctx), ops...) })
 	return ports.CommitResult{}, errors.Wrap(ports.ErrUncertain, "answer lost")
 }
 
-type gateObjects struct{ *gate }
+type faultyObjects struct{ *faultyPlatform }
 
-func (g gateObjects) Get(ctx context.Context, name string) ([]byte, error) {
+func (g faultyObjects) Get(ctx context.Context, name string) ([]byte, error) {
 	if err := g.pass(ctx); err != nil {
 		return nil, err
 	}
@@ -70,7 +72,7 @@
 	return g.objects.Get(ctx, name)
 }
 
-func (g gateObjects) Put(ctx context.Context, name string, data []byte) error {
+func (g faultyObjects) Put(ctx context.Context, name string, data []byte) error {
 	if err := g.pass(ctx); err != nil {
 		return err
 	}
--- a/internal/bench/confignet/start.go
+++ b/internal/bench/confignet/start.go
@@ -11,18 +11,18 @@
 	"github.com/cactusproxy/cactusproxy/internal/standin/store"
 )
 
-// StartReport is what it takes to start a host.
+// StartReport is the cost of starting a host.
 type StartReport struct {
 	Services int
-	// From says what the host started from.
+	// From describes the source that the host loaded its configuration from.
 	From string
-	// Reads counts operations on the platform, the head row included.
+	// Reads counts read operations on the platform, including the head row.
 	Reads uint64
-	// InForce is the time until the host has the configuration.
+	// InForce is the time until the configuration is in force on the host.
 	InForce time.Duration
-	// CPU is the processor time of the whole process meanwhile.
+	// CPU is the CPU time of the whole process in that time.
 	CPU time.Duration
-	// Bytes is the size of the snapshot.
+	// Bytes is the size of the snapshot in bytes.
 	Bytes int
 }
 
@@ -31,8 +31,8 @@
 	return fmt.Sprintf("services=%d from=%q reads=%d in_force=%s cpu=%s snapshot_bytes=%d", r.Services, r.From, r.Reads, r.InForce, r.CPU, r.Bytes)
 }
 
-// RunStart measures the start of a host when there are this many services: from
-// the snapshot, then from the table because the snapshot is damaged.
+// RunStart measures the start of a host with the given number of services, once
+// from the snapshot and once from the table because the snapshot is corrupt.
 func RunStart(ctx context.Context, services int) ([]StartReport, error) {
 	f := Empty()
 	f.Store.SetFaults(store.Faults{Delay: storeDelay})
@@ -45,40 +45,43 @@
 			return nil, errors.Newf("workspace %d: %s", i, out.Result)
 		}
 	}
-	time.Sleep(2 * settle)
+	time.Sleep(2 * settleTime)
 	raw, err := f.Store.Objects().Get(ctx, config.SnapshotName)
 	if err != nil {
 		return nil, err
 	}
-	first := f.start(writer, services, "snapshot", len(raw))
+	first := f.measureStart(writer, services, "snapshot", len(raw))
 	raw[len(raw)/2] ^= 1
 	if err := f.Store.Objects().Put(ctx, config.SnapshotName, raw); err != nil {
 		return nil, err
 	}
-	second := f.start(writer, services, "table, snapshot damaged", len(raw))
+	second := f.measureStart(writer, services, "table, snapshot damaged", len(raw))
 	return []StartReport{first, second}, nil
 }
 
-// start measures the start of one host that reaches no other.
-func (f *Fleet) start(writer *Host, services int, from string, size int) StartReport {
-	cpu, began := processorTime(), time.Now()
+// measureStart measures the measureStart of a host that is disconnected from all others.
+func (f *Fleet) measureStart(writer *Host, services int, from string, size int) StartReport {
+	cpu, began := cpuTime(), time.Now()
 	h := f.Start()
 	f.CutPeers(h)
 	for h.Sequence() < writer.Sequence() {
-		time.Sleep(look)
+		time.Sleep(pollInterval)
+	}
+	rep := StartReport{
+		Services: services, From: from, Reads: h.Reads(),
+		InForce: time.Since(began), CPU: cpuTime() - cpu, Bytes: size,
 	}
-	rep := StartReport{Services: services, From: from, Reads: h.Reads(), InForce: time.Since(began), CPU: processorTime() - cpu, Bytes: size}
 	f.Stop(h)
 	return rep
 }
 
-// ReadyReport is how long hosts take to serve.
+// ReadyReport is the time that hosts take to become ready.
 type ReadyReport struct {
 	Case   string
 	Hosts  int
 	Trials int
-	// Worst is the longest time from the start, or the end of a pause, until
-	// the host is ready.
+	// Worst is the longest time from the start of a host, or from the end of its
+	// pause, until it was ready.
 	Worst time.Duration
 }
 
@@ -87,11 +90,11 @@
 	return fmt.Sprintf("case=%q hosts=%d trials=%d worst=%s", r.Case, r.Hosts, r.Trials, r.Worst)
 }
 
-// pauseLength is how long a host is paused in RunReady.
+// pauseLength is the length of a simulated pause.
 const pauseLength = time.Minute
 
-// RunReady measures how long a host takes to serve after its start and after a
-// pause, with the store up and with the store out.
+// RunReady measures how long a host takes to become ready after its start and
+// after a pause, with the store available and unavailable.
 func RunReady(hosts, trials int) ([]ReadyReport, error) {
 	var out []ReadyReport
 	for _, down := range []bool{false, true} {
@@ -99,7 +102,7 @@
 			f := Empty()
 			f.Store.SetFaults(store.Faults{Delay: storeDelay})
 			f.StartAll(hosts)
-			time.Sleep(settle)
+			time.Sleep(settleTime)
 			f.Store.SetFaults(store.Faults{Delay: storeDelay, Down: down})
 			rep := ReadyReport{Case: begin + ", " + platformState(down), Hosts: hosts, Trials: trials}
 			err := f.readyTrials(&rep, begin)
@@ -122,7 +125,7 @@
 
 func (f *Fleet) readyTrials(rep *ReadyReport, begin string) error {
 	for i := range rep.Trials {
-		time.Sleep(settle + time.Duration(i)*7*time.Millisecond) // another phase each time
+		time.Sleep(settleTime + time.Duration(i)*7*time.Millisecond) // vary the phase
 		h := f.Hosts()[0]
 		if begin == "start" {
 			f.Stop(h)
@@ -139,14 +142,15 @@
 	return nil
 }
 
-// untilReady waits until the host is ready and has confirmed.
+// untilReady waits until the host is ready and has confirmed its configuration,
+// and returns how long that took.
 func (h *Host) untilReady() (time.Duration, error) {
 	start := time.Now()
 	for !h.Ready() || !h.Controller.Fresh() {
-		if time.Since(start) > giveUp {
-			return 0, errors.New("host is not ready")
+		if time.Since(start) > waitTimeout {
+			return 0, errors.New("host not ready before the timeout")
 		}
-		time.Sleep(look)
+		time.Sleep(pollInterval)
 	}
 	return time.Since(start), nil
 }
