--- a/internal/bench/loopback/bench.go
+++ b/internal/bench/loopback/bench.go
@@ -22,7 +22,7 @@
 	servicesPerWorkspace = 5
 )
 
-// bench is one deployment under load.
+// bench is a deployment under load.
 type bench struct {
 	opts   Options
 	lab    *lab.Lab
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	b := &bench{opts: o, lab: l, client: newClient(o.Callers)}
-	for _, step := range []func(context.Context) error{b.startHosts, b.declare, b.startTargets} {
+	for _, step := range []func(context.Context) error{b.startHosts, b.applyConfig, b.startTargets} {
 		if err := step(ctx); err != nil {
 			b.close()
 			return nil, err
@@ -57,11 +57,11 @@
 	b.lab.Close()
 }
 
-func (b *bench) direct() string {
+func (b *bench) directURL() string {
 	return b.targets[b.next.Add(1)%uint64(len(b.targets))]
 }
 
-func (b *bench) through() string {
+func (b *bench) hostURL() string {
 	return b.hosts[b.next.Add(1)%uint64(len(b.hosts))]
 }
 
@@ -86,11 +86,11 @@
 
 func hostID(i int) string { return fmt.Sprintf("entry-%d", i+1) }
 
-// declare applies the workspace that takes the calls, and the others.
-func (b *bench) declare(ctx context.Context) error {
+// applyConfig applies the workspace that receives the calls and the idle ones.
+func (b *bench) applyConfig(ctx context.Context) error {
 	names := []string{workspace}
 	for i := range b.opts.Services / servicesPerWorkspace {
-		names = append(names, otherWorkspace(i))
+		names = append(names, idleWorkspace(i))
 	}
 	for _, name := range names {
 		r, err := b.lab.ApplyText(ctx, hostID(0), *confignet.Template(), confignet.Workspace(name, 100_000), nil)
@@ -104,11 +104,11 @@
 	return nil
 }
 
-func otherWorkspace(i int) string { return fmt.Sprintf("other-%d", i) }
+func idleWorkspace(i int) string { return fmt.Sprintf("other-%d", i) }
 
 func (b *bench) startTargets(ctx context.Context) error {
 	if b.opts.Listed > 0 {
-		b.lab.ListTargets(b.others())
+		b.lab.ListTargets(b.idleTargets())
 	}
 	for i := range b.opts.Targets {
 		t, err := b.lab.AddTarget(fmt.Sprintf("t-%d", i), "zone-a", workspace, service, target.Options{Slots: slots, Queue: 1000})
@@ -125,16 +125,16 @@
 	return nil
 }
 
-// others returns listed targets of the services that take no calls.
-func (b *bench) others() []ports.Host {
-	spaces := max(1, b.opts.Services/servicesPerWorkspace)
+// idleTargets returns target list entries of the services that receive no calls.
+func (b *bench) idleTargets() []ports.Host {
+	workspaces := max(1, b.opts.Services/servicesPerWorkspace)
 	out := make([]ports.Host, b.opts.Listed)
 	for i := range out {
 		out[i] = ports.Host{
 			ID: ports.HostID(fmt.Sprintf("other-%d", i)), Role: ports.RoleTarget, State: ports.HostLive,
 			Zone: "zone-b", Addr: "127.0.0.1:1",
-			Workspace: otherWorkspace(i % spaces),
-			Service:   fmt.Sprintf("s%d", i/spaces%servicesPerWorkspace),
+			Workspace: idleWorkspace(i % workspaces),
+			Service:   fmt.Sprintf("s%d", i/workspaces%servicesPerWorkspace),
 		}
 	}
 	return out
--- a/internal/bench/loopback/loopback.go
+++ b/internal/bench/loopback/loopback.go
@@ -1,6 +1,7 @@
-// Package loopback measures what a daemon adds to a call: callers, entry hosts
-// and targets in one process, over loopback, calls through the hosts side by side
-// with calls straight to the targets.
+// Package loopback benchmarks the latency and CPU time that a daemon adds to a
+// call. Callers, entry hosts and targets run in one process and communicate over
+// the loopback interface; calls through the hosts are compared with calls made
+// directly to the targets under the same load.
 package loopback
 
 import (
@@ -20,23 +21,26 @@
 	"github.com/cactusproxy/cactusproxy/internal/standin/platform"
 )
 
-// Options says what to measure; zero fields get the defaults named.
+// Options configure a measurement. Zero fields get the defaults stated.
 type Options struct {
-	// Hosts is the number of entry hosts; 3.
+	// Hosts is the number of entry hosts; default 3.
 	Hosts int
-	// Targets is the number of targets that take the calls; 12, with 16 slots
-	// each, so that the choice never waits for a slot.
+	// Targets is the number of targets that receive the calls; default 12. Each
+	// has 16 slots, so that no call waits for a slot.
 	Targets int
-	// Services and Listed are declared and listed besides, without any calls.
+	// Services and Listed are the numbers of additional services declared and
+	// targets listed, which receive no calls.
 	Services int
 	Listed   int
-	// StoreDown takes the platform out before latency is measured.
+	// StoreDown makes the platform unavailable before latency is measured.
 	StoreDown bool
-	// Calls is the number of calls of each measurement; 40,000.
+	// Calls is the number of calls per measurement; default 40,000.
 	Calls int
-	// Load is the share of the capacity at which latency is measured; 0.5.
+	// Load is the fraction of the capacity at which latency is measured; default
+	// 0.5.
 	Load float64
-	// Callers is the number of callers that find the capacity; 64.
+	// Callers is the number of concurrent callers used to find the capacity;
+	// default 64.
 	Callers int
 }
 
@@ -57,29 +61,29 @@
 	}
 }
 
-// Latency is the latency of the calls of one way.
+// Latency holds latency quantiles.
 type Latency struct {
 	P50, P99, P999 time.Duration
 }
 
-// Report is what was measured.
+// Report holds the results of a measurement.
 type Report struct {
 	Options Options
-	// Capacity is the calls a second through the hosts that Callers reach with
-	// all of the machine, callers and targets included.
+	// Capacity is the maximum rate of calls per second through the hosts, with
+	// callers, hosts and targets sharing the machine.
 	Capacity float64
-	// Rate is the calls a second at which latency was measured, half of them
-	// direct and half through the hosts.
+	// Rate is the rate of calls per second at which latency was measured; half of
+	// the calls were direct and half through the hosts.
 	Rate            float64
 	Direct, Through Latency
-	// CPU is the processor time that a call through the hosts takes more than a
-	// direct one.
+	// CPU is the CPU time that a call through the hosts takes in addition to that
+	// of a direct call.
 	CPU time.Duration
-	// Refused counts calls that did not get the target's answer.
+	// Refused counts calls that did not get a successful response from a target.
 	Refused int64
 }
 
-// Added is what the hosts add to the latency at each quantile.
+// Added returns the latency that the hosts add at each quantile.
 func (r Report) Added() Latency {
 	return Latency{
 		P50:  r.Through.P50 - r.Direct.P50,
@@ -88,7 +92,8 @@
 	}
 }
 
-// CallsPerCore is the calls a second that one core of a host carries.
+// CallsPerCore returns the number of calls per second that one core of a host can
+// handle.
 func (r Report) CallsPerCore() float64 { return 1 / r.CPU.Seconds() }
 
 // String returns one line of key=value pairs.
@@ -99,7 +104,8 @@
 		r.Direct.P50, r.Direct.P99, r.Through.P50, r.Through.P99, a.P50, a.P99, a.P999, r.CPU, r.CallsPerCore(), r.Refused)
 }
 
-// Run measures once.
+// Run runs one measurement: CPU time and capacity in a closed loop, then latency
+// in an open loop.
 func Run(ctx context.Context, o Options) (Report, error) {
 	o = o.withDefaults()
 	b, err := newBench(ctx, o)
@@ -108,12 +114,12 @@
 	}
 	defer b.close()
 	r := Report{Options: o}
-	warm := b.closedLoop(ctx, b.through, o.Calls/4)
-	if warm.refused > 0 {
-		return r, errors.Newf("%d of %d calls had no answer", warm.refused, o.Calls/4)
+	warmUp := b.closedLoop(ctx, b.hostURL, o.Calls/4)
+	if warmUp.refused > 0 {
+		return r, errors.Newf("%d of %d warm-up calls failed", warmUp.refused, o.Calls/4)
 	}
-	direct := b.closedLoop(ctx, b.direct, o.Calls)
-	through := b.closedLoop(ctx, b.through, o.Calls)
+	direct := b.closedLoop(ctx, b.directURL, o.Calls)
+	through := b.closedLoop(ctx, b.hostURL, o.Calls)
 	r.CPU = (through.cpu - direct.cpu) / time.Duration(o.Calls)
 	r.Capacity = float64(o.Calls) / through.took.Seconds()
 	r.Rate = r.Capacity * o.Load
@@ -126,7 +132,7 @@
 	return r, ctx.Err()
 }
 
-// loopResult is what one loop of calls came to.
+// loopResult holds the results of one load loop.
 type loopResult struct {
 	took    time.Duration
 	cpu     time.Duration
@@ -135,11 +141,12 @@
 	through Latency
 }
 
-// closedLoop has Callers make calls one after the other.
+// closedLoop makes the given number of calls with Callers concurrent callers, each
+// calling back to back.
 func (b *bench) closedLoop(ctx context.Context, url func() string, calls int) loopResult {
 	var left, refused atomic.Int64
 	left.Store(int64(calls))
-	start, cpu := time.Now(), processTime()
+	start, cpu := time.Now(), cpuTime()
 	var wg sync.WaitGroup
 	for range b.opts.Callers {
 		wg.Go(func() {
@@ -151,15 +158,15 @@
 		})
 	}
 	wg.Wait()
-	return loopResult{took: time.Since(start), cpu: processTime() - cpu, refused: refused.Load()}
+	return loopResult{took: time.Since(start), cpu: cpuTime() - cpu, refused: refused.Load()}
 }
 
-// openLoop begins calls at random moments at a rate, whatever becomes of earlier
-// ones, by turns direct and through the hosts.
+// openLoop starts calls with Poisson arrivals at the given rate, regardless of
+// earlier calls, alternating between direct calls and calls through the hosts.
 func (b *bench) openLoop(ctx context.Context, rate float64, calls int) loopResult {
 	rng := rand.New(rand.NewPCG(1, 2))
-	rec := [2]*recorder{newRecorder(), newRecorder()}
-	urls := [2]func() string{b.direct, b.through}
+	recorders := [2]*recorder{newRecorder(), newRecorder()}
+	urls := [2]func() string{b.directURL, b.hostURL}
 	var wg sync.WaitGroup
 	var refused atomic.Int64
 	next := time.Now()
@@ -171,22 +178,25 @@
 		if ctx.Err() != nil {
 			break
 		}
-		way := i % 2
-		url := urls[way]()
+		path := i % 2
+		url := urls[path]()
 		wg.Go(func() {
 			start := time.Now()
 			if !b.get(ctx, url) {
 				refused.Add(1)
 				return
 			}
-			rec[way].add(time.Since(start))
+			recorders[path].add(time.Since(start))
 		})
 	}
 	wg.Wait()
-	return loopResult{refused: refused.Load(), direct: rec[0].latency(), through: rec[1].latency()}
+	return loopResult{
+		refused: refused.Load(), direct: recorders[0].latency(), through: recorders[1].latency(),
+	}
 }
 
-// get makes one call and reports whether a target answered it.
+// get makes one call and reports whether it got a complete response with status
+// 200.
 func (b *bench) get(ctx context.Context, url string) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -201,7 +211,7 @@
 	return err == nil && resp.StatusCode == http.StatusOK
 }
 
-// recorder collects latencies.
+// recorder collects latencies in a histogram. It is safe for concurrent use.
 type recorder struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
@@ -222,8 +232,9 @@
 	return Latency{P50: at(50), P99: at(99), P999: at(99.9)}
 }
 
-// processTime returns the processor time that this process has used.
-func processTime() time.Duration {
+// cpuTime returns the CPU time used by the process so far, or 0 if it cannot
+// be read.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
