--- a/internal/bench/membernet/membernet.go
+++ b/internal/bench/membernet/membernet.go
@@ -1,6 +1,7 @@
-// Package membernet measures what it costs to keep the view of the entry hosts:
-// many hosts in one process, each with its own peer node over loopback TCP, a
-// shared key, and the controllers of membership and targets.
+// Package membernet benchmarks the steady-state cost of cluster membership. It
+// runs many entry hosts in one process, each with its own peer node over loopback
+// TCP, a shared cluster key, and the membership and targets controllers. Once all
+// hosts see each other as live, it measures traffic and CPU time.
 package membernet
 
 import (
@@ -23,27 +24,29 @@
 )
 
 const (
-	checkEvery = 20 * time.Millisecond
-	// settle lets the burst of the first meeting pass.
-	settle = 2 * time.Second
-	zones  = 3
+	pollInterval = 20 * time.Millisecond
+	// settleTime is the time allowed for the initial burst of traffic to subside.
+	settleTime = 2 * time.Second
+	zones      = 3
 )
 
-// Report is the cost of a host that sees no change.
+// Report holds the cost per host while membership does not change.
 type Report struct {
 	Hosts    int
 	Duration time.Duration
-	// Converged is how long it took until all hosts saw all others as live.
+	// Converged is the time until every host saw all others as live and ready.
 	Converged time.Duration
-	// BytesPerSecond that one host sends, and as many that it receives: frames
-	// with their tags, without the headers of TCP and IP.
+	// BytesPerSecond is the rate at which a host sends bytes, and on average
+	// receives them: frames with their authentication tags, without TCP and IP
+	// headers.
 	BytesPerSecond float64
-	// FramesPerSecond that one host sends.
+	// FramesPerSecond is the rate at which a host sends frames.
 	FramesPerSecond float64
-	// Connections that one host opened; about as many are opened to it.
+	// Connections is the number of connections that a host opened; about as many
+	// are opened to it.
 	Connections float64
-	// CPUPercent of one core that one host takes, both ends of its messages
-	// included.
+	// CPUPercent is the CPU time of the process per host, in percent of one core.
+	// It includes both sending and receiving.
 	CPUPercent float64
 }
 
@@ -53,9 +56,9 @@
 		r.Hosts, r.Duration, r.Converged.Round(time.Millisecond), r.BytesPerSecond, r.FramesPerSecond, r.Connections, r.CPUPercent)
 }
 
-// Run lets the hosts meet and then measures for d.
+// Run starts the hosts, waits until they have converged, and then measures for d.
 func Run(ctx context.Context, hosts int, d time.Duration) (Report, error) {
-	n, err := listen(hosts)
+	n, err := newNetwork(hosts)
 	if err != nil {
 		return Report{}, err
 	}
@@ -83,20 +86,21 @@
 	hosts []*host
 }
 
-// listen makes all hosts and the list that names them.
-func listen(count int) (*network, error) {
+// newNetwork creates the hosts, their listeners and the host list they discover each
+// other from.
+func newNetwork(count int) (*network, error) {
 	var lc net.ListenConfig
 	list := store.New(store.Limits{})
-	lines := make([]ports.Host, count)
+	entries := make([]ports.Host, count)
 	listeners := make([]net.Listener, count)
-	for i := range lines {
+	for i := range entries {
 		l, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 		if err != nil {
 			closeAll(listeners[:i])
 			return nil, errors.Wrap(err, "listen")
 		}
 		listeners[i] = l
-		lines[i] = ports.Host{
+		entries[i] = ports.Host{
 			ID:       ports.HostID(fmt.Sprintf("entry-%03d", i)),
 			Role:     ports.RoleEntry,
 			State:    ports.HostLive,
@@ -105,10 +109,10 @@
 			PeerAddr: l.Addr().String(),
 		}
 	}
-	list.SetHosts(lines)
+	list.SetHosts(entries)
 	n := &network{}
-	for i, line := range lines {
-		n.hosts = append(n.hosts, newHost(line, listeners[i], list.Hosts()))
+	for i, entry := range entries {
+		n.hosts = append(n.hosts, newHost(entry, listeners[i], list.Hosts()))
 	}
 	return n, nil
 }
@@ -119,11 +123,11 @@
 	}
 }
 
-func newHost(line ports.Host, l net.Listener, list ports.HostList) *host {
+func newHost(entry ports.Host, l net.Listener, list ports.HostList) *host {
 	h := &host{board: blackboard.New(), set: metrics.New()}
 	incarnation := membership.NewIncarnation(time.Now())
 	h.node = peer.NewNode(peer.Options{
-		Self:        line.ID,
+		Self:        entry.ID,
 		Incarnation: incarnation,
 		Listener:    l,
 		Key:         []byte("membernet shared key"),
@@ -131,7 +135,7 @@
 	})
 	h.targets = targets.New(targets.Options{Link: h.node, Board: h.board, Metrics: h.set})
 	h.members = membership.New(membership.Options{
-		Host:        line,
+		Host:        entry,
 		Incarnation: incarnation,
 		Link:        h.node,
 		Peers:       h.node,
@@ -169,43 +173,43 @@
 func (n *network) measure(ctx context.Context, start time.Time, d time.Duration) (Report, error) {
 	rep := Report{Hosts: len(n.hosts), Duration: d}
 	for !n.converged() {
-		if err := sleep(ctx, checkEvery); err != nil {
-			return rep, errors.Wrap(err, "hosts did not all meet")
+		if err := sleep(ctx, pollInterval); err != nil {
+			return rep, errors.Wrap(err, "wait for hosts to converge")
 		}
 	}
 	rep.Converged = time.Since(start)
-	if err := sleep(ctx, settle); err != nil {
+	if err := sleep(ctx, settleTime); err != nil {
 		return rep, err
 	}
-	before, err := n.read()
+	before, err := n.sample()
 	if err != nil {
 		return rep, err
 	}
 	if err := sleep(ctx, d); err != nil {
 		return rep, err
 	}
-	after, err := n.read()
+	after, err := n.sample()
 	if err != nil {
 		return rep, err
 	}
-	per := after.at.Sub(before.at).Seconds() * float64(len(n.hosts))
-	rep.BytesPerSecond = float64(after.bytes-before.bytes) / per
-	rep.FramesPerSecond = float64(after.frames-before.frames) / per
+	hostSeconds := after.at.Sub(before.at).Seconds() * float64(len(n.hosts))
+	rep.BytesPerSecond = float64(after.bytes-before.bytes) / hostSeconds
+	rep.FramesPerSecond = float64(after.frames-before.frames) / hostSeconds
 	rep.Connections = float64(after.connections) / float64(len(n.hosts))
-	rep.CPUPercent = 100 * (after.cpu - before.cpu).Seconds() / per
+	rep.CPUPercent = 100 * (after.cpu - before.cpu).Seconds() / hostSeconds
 	return rep, nil
 }
 
-// reading is the sum over all hosts at one time.
-type reading struct {
+// sample holds the counters summed over all hosts at one point in time.
+type sample struct {
 	at            time.Time
 	bytes, frames int64
 	connections   int64
 	cpu           time.Duration
 }
 
-func (n *network) read() (reading, error) {
-	r := reading{at: time.Now()}
+func (n *network) sample() (sample, error) {
+	r := sample{at: time.Now()}
 	for _, h := range n.hosts {
 		st := h.node.Stats()
 		r.bytes += st.BytesSent
--- a/internal/bench/membernet/membernet_test.go
+++ b/internal/bench/membernet/membernet_test.go
@@ -15,7 +15,7 @@
 	assert.Equal(t, rep.Hosts, 5)
 }
 
-// BenchmarkHosts gives the figures of docs/design/membership.md; run it with
+// BenchmarkHosts produces the results in docs/design/membership.md. Run it with
 // -benchtime 1x.
 func BenchmarkHosts(b *testing.B) {
 	for _, n := range []int{15, 50, 100, 150} {
