--- a/cmd/cactusbench/capacity.go
+++ b/cmd/cactusbench/capacity.go
@@ -31,7 +31,7 @@
 	if err := writeJSON(c.JSON, s); err != nil {
 		return err
 	}
-	return capacity.Rewrite(c.Page, s)
+	return capacity.UpdatePage(c.Page, s)
 }
 
 // kept returns the slopes measured before; they are needed if only one step is
--- a/controller/config/pause_test.go
+++ b/controller/config/pause_test.go
@@ -19,7 +19,7 @@
 		h := f.Hosts()[2]
 		f.Isolate(h)
 		change(t, f.Hosts()[0], "c1", 0, 7, config.ResultApplied)
-		h.Jump(time.Minute)
+		h.AdvanceClock(time.Minute)
 		assert.Check(t, !h.Controller.Fresh())
 		pass(300 * time.Millisecond)
 		assertReady(t, false, h)
@@ -41,7 +41,7 @@
 			pass(10*time.Second + time.Duration(phase)*50*time.Millisecond)
 			h := f.Hosts()[0]
 			assertReady(t, true, h)
-			h.Jump(config.DefaultTimings().Pause + 100*time.Millisecond)
+			h.AdvanceClock(config.DefaultTimings().Pause + 100*time.Millisecond)
 			pass(config.DefaultTimings().Tick)
 			woke := h.Metrics.Map("config_events").Get("pauses").String()
 			assert.Equal(t, woke, "1")
@@ -62,7 +62,7 @@
 		pass(time.Second)
 		setFaults(f, true)
 		for _, h := range f.Hosts() {
-			h.Jump(time.Minute)
+			h.AdvanceClock(time.Minute)
 		}
 		f.CutPeers(f.Hosts()[4])
 		pass(bound)
--- a/controller/config/random_test.go
+++ b/controller/config/random_test.go
@@ -85,7 +85,7 @@
 // play runs a script in virtual time and returns what went wrong.
 func play(t *testing.T, script []step, configure func(*config.Controller)) (faults []string) {
 	synctest.Test(t, func(*testing.T) {
-		r := &run{fleet: confignet.Empty(), seen: make(map[string]uint64)}
+		r := &run{fleet: confignet.NewEmptyFleet(), seen: make(map[string]uint64)}
 		r.fleet.Configure = configure
 		r.watch = newWatch(r)
 		r.fleet.StartAll(fleetSize)
@@ -132,7 +132,7 @@
 		r.fleet.Heal()
 	case "pause":
 		r.fleet.Isolate(h)
-		h.Jump(s.For)
+		h.AdvanceClock(s.For)
 	case "replace":
 		r.watch.forget(h)
 		r.fleet.Stop(h)
--- a/controller/config/watch_test.go
+++ b/controller/config/watch_test.go
@@ -141,7 +141,7 @@
 func (w *watch) lookReady(h *confignet.Host, hosts []*confignet.Host) {
 	alone := h.PlatformCut() || w.r.down.Load()
 	for _, other := range hosts {
-		alone = alone && (other == h || w.r.fleet.Severed(h, other))
+		alone = alone && (other == h || w.r.fleet.Disconnected(h, other))
 	}
 	since, ok := w.isolated[h]
 	timings := config.DefaultTimings()
--- a/internal/bench/capacity/page.go
+++ b/internal/bench/capacity/page.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// Rewrite updates the generated tables in the Markdown file page and writes the
+// UpdatePage updates the generated tables in the Markdown file page and writes the
 // plots to the capacity directory next to it.
-func Rewrite(page string, s Slopes) error {
+func UpdatePage(page string, s Slopes) error {
 	old, err := os.ReadFile(page)
 	if err != nil {
 		return err
--- a/internal/bench/confignet/bench.go
+++ b/internal/bench/confignet/bench.go
@@ -93,7 +93,7 @@
 // wall-clock time; otherwise it takes about settle per change.
 func Run(ctx context.Context, opt Options) (Report, error) {
 	rep := Report{Options: opt}
-	f := Empty()
+	f := NewEmptyFleet()
 	f.Seed = opt.Seed
 	f.Store.SetFaults(store.Faults{Delay: storeDelay})
 	f.StartAll(opt.Hosts)
--- a/internal/bench/confignet/fleet.go
+++ b/internal/bench/confignet/fleet.go
@@ -64,14 +64,14 @@
 
 // NewFleet starts a fleet of hosts, spread over three availability zones.
 func NewFleet(hosts int) *Fleet {
-	f := Empty()
+	f := NewEmptyFleet()
 	f.StartAll(hosts)
 	return f
 }
 
-// Empty returns a fleet without hosts, so that its fields can be set before hosts
+// NewEmptyFleet returns a fleet without hosts, so that its fields can be set before hosts
 // are started.
-func Empty() *Fleet {
+func NewEmptyFleet() *Fleet {
 	f := &Fleet{
 		Net:       peernet.New(),
 		Store:     store.New(store.Limits{}),
@@ -230,9 +230,9 @@
 		!f.cuts[link{a.ID, b.ID}] && !f.cuts[link{b.ID, a.ID}]
 }
 
-// Severed reports whether the link between two hosts is cut in at least one
+// Disconnected reports whether the link between two hosts is cut in at least one
 // direction, so that no round trip is possible.
-func (f *Fleet) Severed(a, b *Host) bool {
+func (f *Fleet) Disconnected(a, b *Host) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cuts[link{a.ID, b.ID}] || f.cuts[link{b.ID, a.ID}]
@@ -256,8 +256,8 @@
 // PlatformCut reports whether the host is disconnected from the platform.
 func (h *Host) PlatformCut() bool { return h.platform.cut.Load() }
 
-// Jump moves the host's clock forward, as if the host had been paused.
-func (h *Host) Jump(d time.Duration) { h.offset.Add(int64(d)) }
+// AdvanceClock moves the host's clock forward, as if the host had been paused.
+func (h *Host) AdvanceClock(d time.Duration) { h.offset.Add(int64(d)) }
 
 func (h *Host) now() time.Time { return time.Now().Add(time.Duration(h.offset.Load())) }
 
--- a/internal/bench/confignet/start.go
+++ b/internal/bench/confignet/start.go
@@ -34,7 +34,7 @@
 // RunStart measures the start of a host with the given number of services, once
 // from the snapshot and once from the table because the snapshot is corrupt.
 func RunStart(ctx context.Context, services int) ([]StartReport, error) {
-	f := Empty()
+	f := NewEmptyFleet()
 	f.Store.SetFaults(store.Faults{Delay: storeDelay})
 	f.StartAll(1)
 	defer f.Close()
@@ -99,7 +99,7 @@
 	var out []ReadyReport
 	for _, down := range []bool{false, true} {
 		for _, begin := range []string{"start", "pause"} {
-			f := Empty()
+			f := NewEmptyFleet()
 			f.Store.SetFaults(store.Faults{Delay: storeDelay})
 			f.StartAll(hosts)
 			time.Sleep(settleTime)
@@ -131,7 +131,7 @@
 			f.Stop(h)
 			h = f.Start()
 		} else {
-			h.Jump(pauseLength)
+			h.AdvanceClock(pauseLength)
 		}
 		took, err := h.untilReady()
 		if err != nil {
