--- a/internal/bench/capacity/estimate.go
+++ b/internal/bench/capacity/estimate.go
@@ -26,7 +26,7 @@
 	hostUtilisation = 0.5
 	// callSeconds is the assumed duration of a call, in seconds.
 	callSeconds = 0.020
-	// keyWindowSeconds is how long issued keys are remembered, in seconds; onceShare is
+	// keyWindowSeconds is how long issued keys are remembered; atMostOnceShare is
 	// the fraction of calls that are at most once. Both are assumptions of the
 	// estimate.
 	keyWindowSeconds = 900
@@ -36,7 +36,7 @@
 	grantFrameBytes = 150
 )
 
-// Estimate is the estimate for the planned deployment size.
+// Estimate holds the resources needed at the planned deployment size.
 type Estimate struct {
 	Hosts int
 	rows  []roleEstimate
--- a/internal/bench/capacity/slope.go
+++ b/internal/bench/capacity/slope.go
@@ -4,7 +4,7 @@
 // and plots of docs/CAPACITY.md.
 //
 // Measure fills a Slopes value with the benchmarks in the sibling packages;
-// Rewrite updates the page from it.
+// UpdatePage updates the page from it.
 package capacity
 
 import (
--- a/internal/bench/claims/claims.go
+++ b/internal/bench/claims/claims.go
@@ -28,8 +28,8 @@
 
 // Settings configure a measurement. Zero fields get the defaults, except Pooled.
 type Settings struct {
-	// Hosts is the number of entry hosts. They share the
-	// unpooled part of the write limit evenly.
+	// Hosts is the number of entry hosts. They share the unpooled part of the
+	// write limit evenly.
 	Hosts int
 	// WritesPerSecond is the table's limit of transactions per second.
 	WritesPerSecond int
--- a/internal/bench/confignet/bench.go
+++ b/internal/bench/confignet/bench.go
@@ -69,11 +69,12 @@
 }
 
 const (
-	// settleTime is the time allowed for the fleet to settleTime before and between
+	// settleTime is the time allowed for the fleet to settle before and between
 	// changes.
 	settleTime = 5 * time.Second
-	// pollInterval is the poll interval, and so the resolution of the latencies, until
-	// closeLook has elapsed; lookLate is the interval after that.
+	// pollInterval is the interval of polling, and so the resolution of the
+	// latencies, until finePollPeriod has elapsed; coarsePollInterval applies after
+	// that.
 	pollInterval       = 100 * time.Microsecond
 	finePollPeriod     = 20 * time.Millisecond
 	coarsePollInterval = 2 * time.Millisecond
@@ -90,7 +91,8 @@
 var ErrNotInForce = errors.New("change not in force before the timeout")
 
 // Run measures one fleet in one scenario. In a synctest bubble it needs almost no
-// wall-clock time; otherwise it takes about settle per change.
+// wall-clock time; otherwise it takes about settleTime per
+// change.
 func Run(ctx context.Context, opt Options) (Report, error) {
 	rep := Report{Options: opt}
 	f := NewEmptyFleet()
@@ -122,7 +124,7 @@
 }
 
 // traffic returns the average number of bytes per second that a host sends,
-// measured over idleTime.
+// measured over trafficPeriod.
 func (f *Fleet) traffic() uint64 {
 	before := f.SentBytes()
 	time.Sleep(trafficPeriod)
--- a/internal/bench/confignet/fleet.go
+++ b/internal/bench/confignet/fleet.go
@@ -69,8 +69,8 @@
 	return f
 }
 
-// NewEmptyFleet returns a fleet without hosts, so that its fields can be set before hosts
-// are started.
+// NewEmptyFleet returns a fleet without hosts, so that its fields can be set before
+// hosts are started.
 func NewEmptyFleet() *Fleet {
 	f := &Fleet{
 		Net:       peernet.New(),
--- a/internal/bench/membernet/membernet.go
+++ b/internal/bench/membernet/membernet.go
@@ -181,14 +181,14 @@
 	if err := sleep(ctx, settleTime); err != nil {
 		return rep, err
 	}
-	before, err := n.sample()
+	before, err := n.takeSample()
 	if err != nil {
 		return rep, err
 	}
 	if err := sleep(ctx, d); err != nil {
 		return rep, err
 	}
-	after, err := n.sample()
+	after, err := n.takeSample()
 	if err != nil {
 		return rep, err
 	}
@@ -208,7 +208,7 @@
 	cpu           time.Duration
 }
 
-func (n *network) sample() (sample, error) {
+func (n *network) takeSample() (sample, error) {
 	r := sample{at: time.Now()}
 	for _, h := range n.hosts {
 		st := h.node.Stats()
