--- a/controller/config/checker_test.go
+++ b/controller/config/checker_test.go
@@ -141,7 +141,7 @@
 func (c *checker) checkIsolated(h *confignet.Host, hosts []*confignet.Host) {
 	cutOff := h.PlatformCut() || c.r.storeDown.Load()
 	for _, other := range hosts {
-		cutOff = cutOff && (other == h || c.r.fleet.Severed(h, other))
+		cutOff = cutOff && (other == h || c.r.fleet.Disconnected(h, other))
 	}
 	since, ok := c.isolated[h]
 	timings := config.DefaultTimings()
--- a/controller/config/pause_test.go
+++ b/controller/config/pause_test.go
@@ -18,7 +18,7 @@
 		h := f.Hosts()[2]
 		f.Isolate(h)
 		change(t, f.Hosts()[0], "c1", 0, 7, config.ResultApplied)
-		h.Jump(time.Minute)
+		h.AdvanceClock(time.Minute)
 		assert.Check(t, !h.Controller.Fresh())
 		advanceTime(300 * time.Millisecond)
 		assertReady(t, false, h)
@@ -40,7 +40,7 @@
 			advanceTime(10*time.Second + time.Duration(phase)*50*time.Millisecond)
 			h := f.Hosts()[0]
 			assertReady(t, true, h)
-			h.Jump(config.DefaultTimings().PauseThreshold + 100*time.Millisecond)
+			h.AdvanceClock(config.DefaultTimings().PauseThreshold + 100*time.Millisecond)
 			advanceTime(config.DefaultTimings().ClockInterval)
 			pauses := h.Metrics.Map("config_events").Get("pauses").String()
 			assert.Equal(t, pauses, "1")
@@ -61,7 +61,7 @@
 		advanceTime(time.Second)
 		setStoreDown(f, true)
 		for _, h := range f.Hosts() {
-			h.Jump(time.Minute)
+			h.AdvanceClock(time.Minute)
 		}
 		f.CutPeers(f.Hosts()[4])
 		advanceTime(propagationBound)
--- a/controller/config/random_test.go
+++ b/controller/config/random_test.go
@@ -85,7 +85,7 @@
 // runScript executes a script in virtual time and returns the violations found.
 func runScript(t *testing.T, script []step, configure func(*config.Controller)) (failures []string) {
 	synctest.Test(t, func(*testing.T) {
-		r := &run{fleet: confignet.Empty(), seenVersions: make(map[string]uint64)}
+		r := &run{fleet: confignet.NewEmptyFleet(), seenVersions: make(map[string]uint64)}
 		r.fleet.Configure = configure
 		r.checker = newChecker(r)
 		r.fleet.StartAll(fleetSize)
@@ -132,7 +132,7 @@
 		r.fleet.Heal()
 	case "pause":
 		r.fleet.Isolate(h)
-		h.Jump(s.Period)
+		h.AdvanceClock(s.Period)
 	case "replace":
 		r.checker.forget(h)
 		r.fleet.Stop(h)
