--- a/internal/bench/loopback/bench.go
+++ b/internal/bench/loopback/bench.go
@@ -10,27 +10,27 @@
 
 	"github.com/cactusproxy/cactusproxy/controller/config"
 	"github.com/cactusproxy/cactusproxy/internal/bench/confignet"
-	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/ports"
 )
 
 const (
-	workspace = "bench"
-	service = "s0"
-	slots = 16
+	workspace            = "bench"
+	service              = "s0"
+	slots                = 16
 	servicesPerWorkspace = 5
 )
 
 // bench is a deployment under load.
 type bench struct {
-	opts Options
-	lab *testcluster.Cluster
+	opts   Options
+	lab    *testcluster.Cluster
 	client *http.Client
 
-	hosts []string // URLs of the service through the hosts
+	hosts   []string // URLs of the service through the hosts
 	targets []string // URLs of the targets
-	next atomic.Uint64
+	next    atomic.Uint64
 }
 
 func newBench(ctx context.Context, o Options) (*bench, error) {
@@ -134,7 +134,7 @@
 			ID: ports.HostID(fmt.Sprintf("other-%d", i)), Role: ports.RoleTarget, State: ports.HostLive,
 			Zone: "zone-b", Addr: "127.0.0.1:1",
 			Workspace: idleWorkspace(i % workspaces),
-			Service: fmt.Sprintf("s%d", i/workspaces%servicesPerWorkspace),
+			Service:   fmt.Sprintf("s%d", i/workspaces%servicesPerWorkspace),
 		}
 	}
 	return out
--- a/ledger/history_test.go
+++ b/ledger/history_test.go
@@ -17,27 +17,27 @@
 
 // reply is a result reported to a caller.
 type reply struct {
-	key Key
-	at time.Time
-	res outcome.Result
+	key      Key
+	at       time.Time
+	res      outcome.Result
 	response *Response
 }
 
 // history runs a scenario and records its results.
 type history struct {
 	scenario scenario
-	cluster *cluster
-	keys []Key
-	table delayedTable
+	cluster  *cluster
+	keys     []Key
+	table    delayedTable
 	// sendDelays are the delays of messages from each host.
 	sendDelays [scenarioHosts]atomic.Int64
 
-	mu sync.Mutex
+	mu      sync.Mutex
 	replies []reply
 	// finalReplies are the replies to one more request with each key after all
 	// faults have ended.
 	finalReplies []reply
-	violated []string
+	violated     []string
 }
 
 // delayedTable reports writes as uncertain and applies them after a delay.
--- a/limit_test.go
+++ b/limit_test.go
@@ -10,13 +10,13 @@
 
 	"gotest.tools/v3/assert"
 
-	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
+	"github.com/cactusproxy/cactusproxy/internal/testcluster"
 )
 
 // catalogueCluster is three coordinated hosts and three targets of one service.
 type catalogueCluster struct {
-	hosts []*testcluster.Host
+	hosts   []*testcluster.Host
 	targets []*testcluster.Target
 }
 
@@ -81,11 +81,11 @@
 // that the target announces.
 func TestCoordinatedHostsKeepTheLimitsThatTargetsName(t *testing.T) {
 	const (
-		limit = 2.0 // requests per second that each of the three targets announces
-		allowed = 17 // in 4 s: 1.5 times the limit, plus 5
-		every = 40 * time.Millisecond
-		span = 4 * time.Second
-		stable = time.Second // after this time all hosts know the limit
+		limit   = 2.0 // requests per second that each of the three targets announces
+		allowed = 17  // in 4 s: 1.5 times the limit, plus 5
+		every   = 40 * time.Millisecond
+		span    = 4 * time.Second
+		stable  = time.Second // after this time all hosts know the limit
 	)
 	d := newCatalogue(t)
 	for _, tg := range d.targets {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	simHosts = 15
+	simHosts   = 15
 	simTargets = 15
-	simSlots = 2
+	simSlots   = 2
 	// simRoundTrip is the time from a host's response to the caller's next send.
 	simRoundTrip = 2 * time.Millisecond
-	simService = 5 * time.Millisecond
-	simRestart = 500 * time.Millisecond
+	simService   = 5 * time.Millisecond
+	simRestart   = 500 * time.Millisecond
 	// simAdmitTimeout bounds how long a call waits in Admit.
 	simAdmitTimeout = 2 * time.Second
 )
--- a/random_test.go
+++ b/random_test.go
@@ -19,8 +19,8 @@
 	"github.com/cactusproxy/cactusproxy/controller/config"
 	"github.com/cactusproxy/cactusproxy/internal/bench/confignet"
 	"github.com/cactusproxy/cactusproxy/internal/invariant"
-	"github.com/cactusproxy/cactusproxy/internal/standin/store"
 	"github.com/cactusproxy/cactusproxy/internal/simcluster"
+	"github.com/cactusproxy/cactusproxy/internal/standin/store"
 	"github.com/cactusproxy/cactusproxy/outcome"
 	"github.com/cactusproxy/cactusproxy/ports"
 )
@@ -37,10 +37,10 @@
 
 // Bounds of a generated history.
 const (
-	randomHosts = 3
+	randomHosts   = 3
 	randomTargets = 3
-	randomKeys = 6
-	randomSteps = 40
+	randomKeys    = 6
+	randomSteps   = 40
 )
 
 // opKind is the kind of a step.
@@ -48,8 +48,8 @@
 
 const (
 	opOrder opKind = iota // a request with one of a few idempotency keys
-	opBurst // requests with the same key through every host at once
-	opIssue // a host issues a key, which replaces another one
+	opBurst               // requests with the same key through every host at once
+	opIssue               // a host issues a key, which replaces another one
 	opBrowse
 	opTargetState
 	opStoreDown
@@ -66,47 +66,47 @@
 // op is a step of a history. All steps are generated in advance so that rapid can
 // shrink a failing history.
 type op struct {
-	Kind opKind
-	Wait time.Duration
-	Host int
+	Kind  opKind
+	Wait  time.Duration
+	Host  int
 	Other int
-	Key int
+	Key   int
 	State simcluster.State
 }
 
 func drawOp(t *rapid.T) op {
 	return op{
-		Kind: opKind(rapid.IntRange(0, int(opKinds)-1).Draw(t, "kind")),
-		Wait: time.Duration(rapid.IntRange(0, 400).Draw(t, "wait")) * time.Millisecond,
-		Host: rapid.IntRange(0, randomHosts-1).Draw(t, "host"),
+		Kind:  opKind(rapid.IntRange(0, int(opKinds)-1).Draw(t, "kind")),
+		Wait:  time.Duration(rapid.IntRange(0, 400).Draw(t, "wait")) * time.Millisecond,
+		Host:  rapid.IntRange(0, randomHosts-1).Draw(t, "host"),
 		Other: rapid.IntRange(0, randomHosts-1).Draw(t, "other"),
-		Key: rapid.IntRange(0, randomKeys-1).Draw(t, "key"),
+		Key:   rapid.IntRange(0, randomKeys-1).Draw(t, "key"),
 		State: simcluster.State(rapid.IntRange(0, int(simcluster.Aborting)).Draw(t, "state")),
 	}
 }
 
 // send is one request of the history and the reply to it.
 type send struct {
-	req simcluster.Request
+	req        simcluster.Request
 	begun, end time.Time
-	reply simcluster.Reply
+	reply      simcluster.Reply
 }
 
 // history runs a script against complete daemons and records what was observed.
 type history struct {
-	lab *simcluster.Cluster
+	lab     *simcluster.Cluster
 	keyFile string
 	// breakTable, if set, replaces the platform's table with a faulty one.
 	breakTable func(ports.Table) ports.Table
-	wg sync.WaitGroup
+	wg         sync.WaitGroup
 
-	mu sync.Mutex
-	sends []send
-	serial int
+	mu       sync.Mutex
+	sends    []send
+	serial   int
 	nextHost int
-	hosts [randomHosts]string
-	keys [randomKeys]string
-	applied uint64
+	hosts    [randomHosts]string
+	keys     [randomKeys]string
+	applied  uint64
 	problems []string
 }
 
