--- a/controller/watch/publish.go
+++ b/controller/watch/publish.go
@@ -136,7 +136,7 @@
 		message := "target listed"
 		switch {
 		case t.Unreadable:
-			message = "target entry unreadable"
+			message = "target's entry names none"
 		case t.Removed:
 			message = "target gone"
 		case t.Draining:
