--- a/cmd/cactusdemo/zones.go
+++ b/cmd/cactusdemo/zones.go
@@ -55,7 +55,7 @@
 	return l, l.start(store)
 }
 
-// serve serves a handler on loopback until the lab is closed.
+// serve serves a handler on loopback until the cluster is closed.
 func (l *zonesLab) serve(h http.Handler) (addr string, err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/controller/watch/messages.go
+++ b/controller/watch/messages.go
@@ -27,7 +27,7 @@
 // heartbeat is sent by a watcher to all hosts.
 type heartbeat struct {
 	Host directory.Host `msgpack:"host"`
-	// StoreOK, StoreAge and StoreWait have the meaning they have in watchers.Beat.
+	// StoreOK, StoreAge and StoreWait have the meaning they have in watchers.Heartbeat.
 	StoreOK   bool          `msgpack:"store_ok"`
 	StoreAge  time.Duration `msgpack:"store_age"`
 	StoreWait time.Duration `msgpack:"store_wait"`
--- a/dispatch/fakes_test.go
+++ b/dispatch/fakes_test.go
@@ -52,7 +52,7 @@
 	id     ports.HostID
 }
 
-// Basis implements pick.Explained.
+// Basis implements pick.Explainer.
 func (g *fakeGrant) Basis() pick.Basis { return pick.Basis{LoadUnreported: g.picker.silent} }
 
 func (g *fakeGrant) Target() blackboard.Target { return blackboard.Target{ID: g.id} }
--- a/placer/placer.go
+++ b/placer/placer.go
@@ -3,7 +3,7 @@
 // cheapest by the answers. Cost is the estimated time to the answer plus the price of sending
 // bytes to another availability zone.
 //
-// The decision rules are in package policy/placing. This package holds the state per service
+// The decision rules are in package policy/placement. This package holds the state per service
 // and target, the locks, the probes and their quota, the backoff and ejection of failing
 // targets, and the metrics.
 package placer
--- a/placer/probe.go
+++ b/placer/probe.go
@@ -15,7 +15,7 @@
 )
 
 // probe probes the targets of a list whose load reports are not fresh, in parallel, and waits
-// up to placing.ProbeWait for the answers. Concurrent choices share a probe in flight. It
+// up to placement.ProbeTimeout for the answers. Concurrent choices share a probe in flight. It
 // reports whether any target of the list has a current load report.
 func (p *Placer) probe(ctx context.Context, s *service, list []ranked) bool {
 	path, conns := p.probeConfig(s.key)
@@ -52,11 +52,11 @@
 	return slices.ContainsFunc(list, func(r ranked) bool { return r.figures.Age(now) < placement.ProbeTimeout+freshTolerance })
 }
 
-// freshTolerance is added to placing.ProbeWait as the age up to which a load report counts as
-// one of the current probe round.
+// freshTolerance is added to placement.ProbeTimeout as the age up to which a load report counts
+// as one of the current probe round.
 const freshTolerance = 10 * time.Millisecond
 
-// awaitAll waits until all channels are closed, for at most placing.ProbeWait.
+// awaitAll waits until all channels are closed, for at most placement.ProbeTimeout.
 func awaitAll(ctx context.Context, pending []chan struct{}) {
 	if len(pending) == 0 {
 		return
--- a/slots/slots.go
+++ b/slots/slots.go
@@ -4,7 +4,7 @@
 // this host, and falls back to a local choice while no coordinator responds.
 //
 // The decisions are made by pure state machines in policy/grant (coordinator), policy/session
-// (entry host) and policy/choice (local choice). This package holds the lock, timers, messages
+// (entry host) and policy/localpick (local choice). This package holds the lock, timers, messages
 // and metrics around them.
 package slots
 
