--- a/backpressure/backoff_test.go
+++ b/backpressure/backoff_test.go
@@ -22,7 +22,7 @@
 		p.HandleSignals(service, fl.targets[0], targetapi.Signals{RetryAfter: 3 * time.Second})
 		p.HandleSignals(service, fl.targets[0], targetapi.Signals{})                                   // response to an earlier request
 		p.HandleSignals(service, fl.targets[0], targetapi.Signals{RetryAfter: 100 * time.Millisecond}) // a shorter pause
-		for _, req := range []pick.Request{{}, {Hedge: true}, {Alone: true}} {
+		for _, req := range []pick.Request{{}, {Hedge: true}, {Exclusive: true}} {
 			req.Service = service
 			for range 20 {
 				g, _ := p.Pick(t.Context(), req)
--- a/controller/probes/http.go
+++ b/controller/probes/http.go
@@ -38,7 +38,7 @@
 // from the headers alone, because it can't be revoked and a body may be outdated or wrong.
 func resultOf(resp *http.Response) Result {
 	signals := targetapi.Default().Signals(resp.StatusCode, resp.Header)
-	res := Result{OK: resp.StatusCode == http.StatusOK, Load: -1, Leaving: signals.Leaving, Limit: signals.Limit, Rest: signals.RetryAfter}
+	res := Result{OK: resp.StatusCode == http.StatusOK, Load: -1, Leaving: signals.Leaving, Limit: signals.Limit, RetryAfter: signals.RetryAfter}
 	if signals.HasLoad {
 		res.Load = signals.Load.Running
 	}
--- a/controller/probes/probes.go
+++ b/controller/probes/probes.go
@@ -53,10 +53,10 @@
 	Load int
 	// Leaving is set if the target reports that it is shutting down.
 	Leaving bool
-	// Limit is the concurrency limit that the target reports, Rest the time for which
-	// it asks for no requests from this host.
-	Limit targetapi.Limit
-	Rest  time.Duration
+	// Limit is the concurrency limit that the target reports, RetryAfter the time
+	// for which it asks for no requests from this host.
+	Limit      targetapi.Limit
+	RetryAfter time.Duration
 }
 
 // Prober makes one probe. It sends at most one request, and none once ctx has ended.
@@ -70,13 +70,13 @@
 	Prober Prober
 	// Leaving, if set, is called for a target that reports that it is shutting down.
 	Leaving func(key blackboard.ServiceKey, id ports.HostID)
-	// Heard, if set, receives the signals that targets send with their responses.
-	Heard pick.SignalHandler
-	// Resting, if set, reports whether a target has asked for no requests from this
+	// OnSignals, if set, receives the signals that targets send with their responses.
+	OnSignals pick.SignalHandler
+	// BackedOff, if set, reports whether a target has asked for no requests from this
 	// host for the time being. Such a target is not probed.
-	Resting func(key blackboard.ServiceKey, t blackboard.Target) bool
-	Metrics *metrics.Set
-	Log     *zap.Logger
+	BackedOff func(key blackboard.ServiceKey, t blackboard.Target) bool
+	Metrics   *metrics.Set
+	Log       *zap.Logger
 }
 
 const (
@@ -200,7 +200,7 @@
 		if probed && now.Sub(at) < minTargetInterval {
 			continue
 		}
-		if c.deps.Resting != nil && c.deps.Resting(cand.Service, cand.Target) {
+		if c.deps.BackedOff != nil && c.deps.BackedOff(cand.Service, cand.Target) {
 			continue
 		}
 		path, known := paths[cand.Service]
@@ -302,8 +302,8 @@
 	} else {
 		c.count.Add(countFailed, 1)
 	}
-	if c.deps.Heard != nil && (res.OK || res.Limit.Named || res.Rest > 0) {
-		c.deps.Heard(cand.Service, cand.Target, targetapi.Signals{Leaving: res.Leaving, Limit: res.Limit, RetryAfter: res.Rest})
+	if c.deps.OnSignals != nil && (res.OK || res.Limit.Named || res.RetryAfter > 0) {
+		c.deps.OnSignals(cand.Service, cand.Target, targetapi.Signals{Leaving: res.Leaving, Limit: res.Limit, RetryAfter: res.RetryAfter})
 	}
 	if res.Leaving {
 		c.count.Add(countLeaving, 1)
--- a/dispatch/attempt.go
+++ b/dispatch/attempt.go
@@ -189,8 +189,8 @@
 		return
 	}
 	a.signals = ct.Signals(resp.StatusCode, resp.Header)
-	if d.signalListener != nil {
-		d.signalListener(c.Key, a.grant.Target(), a.signals)
+	if d.onSignals != nil {
+		d.onSignals(c.Key, a.grant.Target(), a.signals)
 	}
 }
 
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -25,8 +25,8 @@
 	Metrics    *metrics.Set
 	// Contract names the headers exchanged with targets; nil means targetapi.Default.
 	Contract *targetapi.Contract
-	// SignalListener, if set, receives the signals that targets report in their responses.
-	SignalListener pick.SignalHandler
+	// OnSignals, if set, receives the signals that targets report in their responses.
+	OnSignals pick.SignalHandler
 	// Retries is the budget for retries and hedges; nil means the ratios that each
 	// workspace declares.
 	Retries RetryBudget
@@ -54,15 +54,15 @@
 
 // Dispatcher executes calls against targets. It is safe for concurrent use.
 type Dispatcher struct {
-	board          *blackboard.Board
-	picker         pick.Picker
-	upstream       upstream.RoundTripper
-	ledger         Ledger
-	quarantine     Quarantine
-	metrics        *metrics.Set
-	contract       *targetapi.Contract
-	signalListener pick.SignalHandler
-	retries        RetryBudget
+	board      *blackboard.Board
+	picker     pick.Picker
+	upstream   upstream.RoundTripper
+	ledger     Ledger
+	quarantine Quarantine
+	metrics    *metrics.Set
+	contract   *targetapi.Contract
+	onSignals  pick.SignalHandler
+	retries    RetryBudget
 
 	buffers *responseBuffers
 
@@ -76,9 +76,9 @@
 		deps.Contract = targetapi.Default()
 	}
 	return &Dispatcher{
-		contract:       deps.Contract,
-		signalListener: deps.SignalListener,
-		retries:        deps.Retries,
+		contract:  deps.Contract,
+		onSignals: deps.OnSignals,
+		retries:   deps.Retries,
 
 		buffers: newResponseBuffers(deps.ResponseBufferBytes),
 
@@ -132,10 +132,10 @@
 			return h.fallbackReply(quarantineReason(decision), decision.RetryAfter)
 		}
 		g, refusal := d.picker.Pick(ctx, pick.Request{
-			Service: c.Key,
-			Avoid:   h.tried,
-			Alone:   decision.Alone,
-			Digest:  c.RequestDigest,
+			Service:   c.Key,
+			Avoid:     h.tried,
+			Exclusive: decision.Exclusive,
+			Digest:    c.RequestDigest,
 
 			Arrived:   c.Arrived.Add(-c.PriorWait),
 			Objective: c.Objective,
--- a/dispatch/hedge.go
+++ b/dispatch/hedge.go
@@ -110,7 +110,7 @@
 // free slot, or the request is suspected of crashing targets.
 func (d *Dispatcher) prepareHedge(ctx context.Context, c *Call, g pick.Grant) *permit {
 	qa, decision := d.admitAttempt(ctx, c)
-	if decision.Refuse || decision.Alone {
+	if decision.Refuse || decision.Exclusive {
 		return d.refuseHedge(qa, "hedge-suspected")
 	}
 	if !c.authorized() {
--- a/edge/provision.go
+++ b/edge/provision.go
@@ -182,7 +182,7 @@
 		Quarantine:          d.quarantine,
 		Metrics:             d.metrics,
 		Contract:            d.platform.Contract,
-		SignalListener:      d.observeSignals,
+		OnSignals:           d.observeSignals,
 		Retries:             newRetryBudget(d.settings.Retries, d.board),
 		ResponseBufferBytes: d.responseMemory(),
 	})
--- a/pick/pick.go
+++ b/pick/pick.go
@@ -26,9 +26,9 @@
 	// Hedge marks a second attempt while the first is in flight. It is granted only if a slot
 	// is free at once.
 	Hedge bool
-	// Alone asks for a target that runs nothing else of this host during the attempt, because
+	// Exclusive asks for a target that runs nothing else of this host during the attempt, because
 	// the call is suspected of crashing targets.
-	Alone bool
+	Exclusive bool
 	// Digest identifies the request to the detection of calls that crash targets; 0 if not
 	// computed.
 	Digest uint64
--- a/placer/candidates.go
+++ b/placer/candidates.go
@@ -78,7 +78,7 @@
 		if !t.available(now) || slices.Contains(req.Avoid, t.info.ID) || !s.regions.Allow(t.info.Zone, req.Regions) {
 			continue
 		}
-		if req.Alone && t.figures.InFlight > 0 {
+		if req.Exclusive && t.figures.InFlight > 0 {
 			continue
 		}
 		// A target that is only presumed cold is still probed while probes are available: its
--- a/policy/placement/placement.go
+++ b/policy/placement/placement.go
@@ -18,13 +18,13 @@
 	// freshAge is the age up to which a report is used as it is. Slow episodes last about 150 ms,
 	// so that after a tenth of that one in ten has ended.
 	freshAge = 15 * time.Millisecond
-	// paceTTL is the age at which a reported pace has lost all weight.
-	paceTTL = 150 * time.Millisecond
+	// slowdownTTL is the age at which a reported slowdown has lost all weight.
+	slowdownTTL = 150 * time.Millisecond
 	// callsTTL is the age at which a reported number of calls has lost all weight: a queue takes
 	// a few service times to build up or drain.
 	callsTTL = 600 * time.Millisecond
-	// initialPace is the pace assumed before any target has reported its own.
-	initialPace = 2.0
+	// initialSlowdown is the slowdown assumed before any target has reported its own.
+	initialSlowdown = 2.0
 	// baselineWeight is the weight of one report in the moving averages of a Baseline.
 	baselineWeight = 0.02
 	// otherZoneCost is the fixed extra cost of a target in another availability zone, in mean
@@ -53,20 +53,20 @@
 // availability zone and for others. It stands in for a target without a recent report: when a
 // zone is overloaded, all of its targets are likely to be full.
 type Baseline struct {
-	// OtherCallsPerSlot is the number of calls of other hosts per slot; Pace is as in
-	// targetapi.Load.
+	// OtherCallsPerSlot is the number of calls of other hosts per slot; Slowdown is as
+	// in targetapi.Load.
 	OtherCallsPerSlot float64
-	Pace              float64
+	Slowdown          float64
 }
 
 // NewBaseline returns the Baseline to use before the first report.
-func NewBaseline() Baseline { return Baseline{Pace: initialPace} }
+func NewBaseline() Baseline { return Baseline{Slowdown: initialSlowdown} }
 
 // Observe adds the report of a target with the given number of slots; others is the number of
 // calls of other hosts there.
 func (u *Baseline) Observe(l targetapi.Load, others, slots int) {
 	u.OtherCallsPerSlot += baselineWeight * (float64(others)/float64(slots) - u.OtherCallsPerSlot)
-	u.Pace += baselineWeight * (l.Slowdown - u.Pace)
+	u.Slowdown += baselineWeight * (l.Slowdown - u.Slowdown)
 }
 
 // TargetState is what a host knows of the load of one target.
@@ -131,10 +131,11 @@
 	return t*float64(f.OtherCalls) + (1-t)*baseline + float64(f.InFlight)
 }
 
-// pace returns the estimated pace: the reported one, which decays to the baseline with age.
-func (f *TargetState) pace(age time.Duration) float64 {
-	t := weight(age, paceTTL)
-	return t*f.Load.Slowdown + (1-t)*f.Baseline.Pace
+// slowdown returns the estimated slowdown: the reported one, which decays to the baseline with
+// age.
+func (f *TargetState) slowdown(age time.Duration) float64 {
+	t := weight(age, slowdownTTL)
+	return t*f.Load.Slowdown + (1-t)*f.Baseline.Slowdown
 }
 
 // Full reports whether the target may be unable to queue one more call.
@@ -165,7 +166,7 @@
 func (f *TargetState) ExpectedTime(now time.Time) float64 {
 	age, slots := f.Age(now), float64(f.Slots)
 	calls := f.calls(age)
-	t := f.pace(age) * (1 + max(0, calls+1-slots)/slots + crowding*calls/slots)
+	t := f.slowdown(age) * (1 + max(0, calls+1-slots)/slots + crowding*calls/slots)
 	if f.Cold {
 		t *= coldFactor
 	}
--- a/policy/placement/placement_test.go
+++ b/policy/placement/placement_test.go
@@ -12,9 +12,9 @@
 var now = time.Unix(1000, 0)
 
 // reported returns the state of a target with four slots that has just reported its load.
-func reported(running, waiting int, pace float64) TargetState {
+func reported(running, waiting int, slowdown float64) TargetState {
 	f := TargetState{Slots: 4, Baseline: NewBaseline()}
-	f.ObserveLoad(now, targetapi.Load{Running: running, Waiting: waiting, Slots: 4, Slowdown: pace})
+	f.ObserveLoad(now, targetapi.Load{Running: running, Waiting: waiting, Slots: 4, Slowdown: slowdown})
 	return f
 }
 
@@ -23,8 +23,8 @@
 	assert.Check(t, a.Cost(now, TransferCost(5000)) < b.Cost(now, TransferCost(5000)), "%.2f, %.2f", a.Cost(now, TransferCost(5000)), b.Cost(now, TransferCost(5000)))
 }
 
-// A call starts immediately at a target with a free slot; among such targets the pace decides,
-// not the number of slots in use.
+// A call starts immediately at a target with a free slot; among such targets the slowdown
+// decides, not the number of slots in use.
 func TestPaceOutweighsFreeSlots(t *testing.T) {
 	assertCheaper(t, reported(3, 0, 1), reported(0, 0, 5))
 	assertCheaper(t, reported(0, 0, 1), reported(3, 0, 1))
@@ -59,7 +59,8 @@
 	assert.Check(t, !unknownOtherZone.Full(now))
 }
 
-// A report loses its weight with age: the pace within 150 ms, the number of calls within 600 ms.
+// A report loses its weight with age: the slowdown within 150 ms, the number of calls within
+// 600 ms.
 func TestReportsLoseWeightWithAge(t *testing.T) {
 	f := reported(4, 4, 5)
 	fresh := f.Cost(now, TransferCost(5000))
--- a/policy/placement/silent.go
+++ b/policy/placement/silent.go
@@ -43,8 +43,8 @@
 // load inferred from that.
 //
 // A probe waits for a slot there and takes as much longer than usual as the target is slower, so
-// its duration shows that a slot was free, and the pace. The pace is not derived from calls,
-// whose service times differ from one to the next.
+// its duration shows that a slot was free, and the slowdown. The slowdown is not derived from
+// calls, whose service times differ from one to the next.
 func (f *TargetState) ObserveProbe(now time.Time, took, typical time.Duration) targetapi.Load {
 	l := targetapi.Load{Running: f.InFlight, Slowdown: max(1, float64(took)/float64(max(typical, minTypical)))}
 	f.ObserveLoad(now, l)
--- a/policy/session/session.go
+++ b/policy/session/session.go
@@ -176,7 +176,7 @@
 }
 
 func (a *pending) message(now time.Time) grant.Request {
-	m := grant.Request{ID: a.id, Avoid: a.avoid, Hedge: a.req.Hedge, Exclusive: a.req.Alone}
+	m := grant.Request{ID: a.id, Avoid: a.avoid, Hedge: a.req.Hedge, Exclusive: a.req.Exclusive}
 	if !a.deadline.IsZero() {
 		m.Remaining = max(a.deadline.Sub(now), 1)
 	}
@@ -320,8 +320,8 @@
 }
 
 func (s *Session) start(now time.Time, a *pending, t blackboard.Target, local bool) {
-	s.inFlight[a.id] = attempt{target: t.ID, since: now, exclusive: a.req.Alone}
-	s.picker.Start(t.ID, a.req.Alone)
+	s.inFlight[a.id] = attempt{target: t.ID, since: now, exclusive: a.req.Exclusive}
+	s.picker.Start(t.ID, a.req.Exclusive)
 	s.decisions = append(s.decisions, Decision{ID: a.id, Target: t, Local: local})
 }
 
@@ -345,7 +345,7 @@
 		s.refuse(a.id, outcome.ReasonDeadline)
 		return true
 	}
-	t, ok := s.picker.Pick(now, a.avoid, a.req.Hedge, a.req.Alone)
+	t, ok := s.picker.Pick(now, a.avoid, a.req.Hedge, a.req.Exclusive)
 	if ok {
 		s.start(now, a, t, true)
 		return true
--- a/provision.go
+++ b/provision.go
@@ -218,15 +218,15 @@
 		prober = probes.HTTPProber()
 	}
 	d.probes = probes.New(probes.Deps{
-		Board:   d.board,
-		Source:  probeSource{d.slots},
-		Budget:  d.budget,
-		Prober:  prober,
-		Leaving: d.markLeaving,
-		Heard:   d.recordSignals,
-		Resting: d.picker.BackedOff,
-		Metrics: d.metrics,
-		Log:     d.log,
+		Board:     d.board,
+		Source:    probeSource{d.slots},
+		Budget:    d.budget,
+		Prober:    prober,
+		Leaving:   d.markLeaving,
+		OnSignals: d.recordSignals,
+		BackedOff: d.picker.BackedOff,
+		Metrics:   d.metrics,
+		Log:       d.log,
 	})
 }
 
@@ -292,13 +292,13 @@
 		up = o.upstream
 	}
 	dispatcher := dispatch.New(dispatch.Deps{
-		Board:          d.board,
-		Picker:         d.picker,
-		Upstream:       up,
-		Ledger:         d.ledger,
-		Quarantine:     d.quarantine,
-		Metrics:        d.metrics,
-		SignalListener: d.recordSignals,
+		Board:      d.board,
+		Picker:     d.picker,
+		Upstream:   up,
+		Ledger:     d.ledger,
+		Quarantine: d.quarantine,
+		Metrics:    d.metrics,
+		OnSignals:  d.recordSignals,
 	})
 	memory := d.settings.Callers.BodyMemoryBytes
 	if memory == 0 {
--- a/quarantine/attempt.go
+++ b/quarantine/attempt.go
@@ -16,8 +16,8 @@
 	// Refuse is set if the attempt must not be sent: the request is quarantined, or
 	// ctx ended while it waited for a trial (see Waited).
 	Refuse bool
-	// Alone is set for a trial: the attempt must have a target to itself.
-	Alone bool
+	// Exclusive is set for a trial: the attempt must have a target to itself.
+	Exclusive bool
 	// Waited is set if the attempt is refused only because ctx ended while it waited
 	// for a trial; the request is not quarantined.
 	Waited bool
@@ -69,7 +69,7 @@
 			return nil, q.refuse(Decision{})
 		case suspicion.Exclusive:
 			q.count.Add(countTrials, 1)
-			return &Attempt{q: q, digest: digest, trial: t}, Decision{Alone: true}
+			return &Attempt{q: q, digest: digest, trial: t}, Decision{Exclusive: true}
 		}
 		q.count.Add(countTrialWaits, 1)
 		if !waitForChange(ctx, changed, delay) {
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	simHosts = 15
+	simHosts   = 15
 	simTargets = 15
-	simSlots = 2
+	simSlots   = 2
 	// simRoundTrip is the time from a host's response to the caller's next send.
 	simRoundTrip = 2 * time.Millisecond
-	simService = 5 * time.Millisecond
-	simRestart = 500 * time.Millisecond
+	simService   = 5 * time.Millisecond
+	simRestart   = 500 * time.Millisecond
 	// simAdmitTimeout bounds how long a call waits in Admit.
 	simAdmitTimeout = 2 * time.Second
 )
@@ -172,7 +172,7 @@
 		}
 		breakOff(s.hosts[0], 5, "t01")
 		a, d := s.hosts[1].Admit(context.Background(), 5)
-		assert.Check(t, d.Alone)
+		assert.Check(t, d.Exclusive)
 		a.Started("t02")
 		a.Completed()
 		time.Sleep(time.Millisecond)
@@ -192,7 +192,7 @@
 		}
 		t.Logf("quarantine expired after %s without attempts", time.Since(began))
 		_, d = s.hosts[3].Admit(context.Background(), 6)
-		assert.Check(t, d.Alone)
+		assert.Check(t, d.Exclusive)
 	})
 }
 
@@ -235,14 +235,14 @@
 		a.BrokeOff()
 		time.Sleep(5 * time.Millisecond)
 		var mu sync.Mutex
-		alone, free := 0, 0
+		exclusive, free := 0, 0
 		var wg sync.WaitGroup
 		for i := range 20 {
 			wg.Go(func() {
 				a, d := s.hosts[i%simHosts].Admit(context.Background(), 5)
 				mu.Lock()
-				if d.Alone {
-					alone++
+				if d.Exclusive {
+					exclusive++
 				} else {
 					free++
 				}
@@ -253,7 +253,7 @@
 			})
 		}
 		wg.Wait()
-		assert.Equal(t, alone, 1)
+		assert.Equal(t, exclusive, 1)
 		assert.Equal(t, free, 19)
 	})
 }
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -17,11 +17,11 @@
 
 // simTarget models a target. All its runs lose their connections when it crashes.
 type simTarget struct {
-	id    ports.HostID
-	runs  int
-	alone bool
-	up    bool
-	lost  chan struct{}
+	id        ports.HostID
+	runs      int
+	exclusive bool
+	up        bool
+	lost      chan struct{}
 }
 
 // sim is a cluster of hosts that run the real Quarantine over simulated targets.
@@ -86,26 +86,26 @@
 	return s.hosts[s.rng.IntN(len(s.hosts))]
 }
 
-// acquireSlot waits for a free slot; with alone set, for a target without other runs.
-func (s *sim) acquireSlot(alone bool) *simTarget {
+// acquireSlot waits for a free slot; with exclusive set, for a target without other runs.
+func (s *sim) acquireSlot(exclusive bool) *simTarget {
 	for {
-		if t := s.tryAcquireSlot(alone); t != nil {
+		if t := s.tryAcquireSlot(exclusive); t != nil {
 			return t
 		}
 		time.Sleep(200 * time.Microsecond)
 	}
 }
 
-func (s *sim) tryAcquireSlot(alone bool) *simTarget {
+func (s *sim) tryAcquireSlot(exclusive bool) *simTarget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first := s.rng.IntN(len(s.targets))
 	for i := range s.targets {
 		t := s.targets[(first+i)%len(s.targets)]
-		free := t.up && !t.alone && t.runs < simSlots
-		if free && (!alone || t.runs == 0) {
+		free := t.up && !t.exclusive && t.runs < simSlots
+		if free && (!exclusive || t.runs == 0) {
 			t.runs++
-			t.alone = alone
+			t.exclusive = exclusive
 			return t
 		}
 	}
@@ -126,7 +126,7 @@
 		time.AfterFunc(simRestart, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			t.up, t.runs, t.alone, t.lost = true, 0, false, make(chan struct{})
+			t.up, t.runs, t.exclusive, t.lost = true, 0, false, make(chan struct{})
 		})
 	}
 }
@@ -141,8 +141,8 @@
 
 // run runs one admitted attempt on a target. It returns false if the connection was
 // lost.
-func (s *sim) run(a *Attempt, digest uint64, alone, poison bool, work time.Duration) bool {
-	t := s.acquireSlot(alone)
+func (s *sim) run(a *Attempt, digest uint64, exclusive, poison bool, work time.Duration) bool {
+	t := s.acquireSlot(exclusive)
 	lost := t.lost
 	a.Started(ports.RunID(t.id))
 	select {
@@ -164,7 +164,7 @@
 	defer s.mu.Unlock()
 	if lost == t.lost && t.up {
 		t.runs--
-		t.alone = false
+		t.exclusive = false
 	}
 	return true
 }
@@ -182,7 +182,7 @@
 			s.refused++
 		}
 		s.mu.Unlock()
-		if !d.Refuse && s.run(a, digest, d.Alone, poison, s.work()) {
+		if !d.Refuse && s.run(a, digest, d.Exclusive, poison, s.work()) {
 			return
 		}
 		time.Sleep(simRoundTrip)
--- a/slots/random_test.go
+++ b/slots/random_test.go
@@ -33,23 +33,23 @@
 
 // fault is one step of a script of random faults.
 type fault struct {
-	After time.Duration
-	What string
-	Host int
+	After  time.Duration
+	What   string
+	Host   int
 	Target int
 }
 
 const (
-	scriptHosts = 4
+	scriptHosts   = 4
 	scriptTargets = 5
 )
 
 func drawScript(t *rapid.T) []fault {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) fault {
 		return fault{
-			After: time.Duration(rapid.IntRange(0, 400).Draw(t, "after")) * time.Millisecond,
-			What: rapid.SampledFrom([]string{"cut", "heal", "coordinator", "nobody", "lists differ", "drain", "lose replies"}).Draw(t, "what"),
-			Host: rapid.IntRange(0, scriptHosts-1).Draw(t, "host"),
+			After:  time.Duration(rapid.IntRange(0, 400).Draw(t, "after")) * time.Millisecond,
+			What:   rapid.SampledFrom([]string{"cut", "heal", "coordinator", "nobody", "lists differ", "drain", "lose replies"}).Draw(t, "what"),
+			Host:   rapid.IntRange(0, scriptHosts-1).Draw(t, "host"),
 			Target: rapid.IntRange(0, scriptTargets-2).Draw(t, "target"),
 		}
 	}), 1, 12).Draw(t, "script")
@@ -75,9 +75,9 @@
 // scriptRun is one run of a script.
 type scriptRun struct {
 	*cluster
-	mu sync.Mutex
+	mu       sync.Mutex
 	failures []string
-	leaving map[ports.HostID]time.Time
+	leaving  map[ports.HostID]time.Time
 }
 
 func (p *scriptRun) fail(format string, args ...any) {
@@ -194,7 +194,7 @@
 		}
 		deadline := time.Duration(5+rng.IntN(100)) * time.Millisecond
 		began := time.Now()
-		g, refusal := h.pickFor(deadline, pick.Request{Alone: rng.IntN(20) == 0, Hedge: rng.IntN(20) == 0})
+		g, refusal := h.pickFor(deadline, pick.Request{Exclusive: rng.IntN(20) == 0, Hedge: rng.IntN(20) == 0})
 		if waited := time.Since(began); waited > deadline {
 			p.fail("a pick with a deadline of %s took %s", deadline, waited)
 		}
