--- a/slots/random_test.go
+++ b/slots/random_test.go
@@ -194,7 +194,7 @@
 		}
 		deadline := time.Duration(5+rng.IntN(100)) * time.Millisecond
 		began := time.Now()
-		g, refusal := h.pickFor(deadline, pick.Request{Alone: rng.IntN(20) == 0, Hedge: rng.IntN(20) == 0})
+		g, refusal := h.pickFor(deadline, pick.Request{Exclusive: rng.IntN(20) == 0, Hedge: rng.IntN(20) == 0})
 		if waited := time.Since(began); waited > deadline {
 			p.fail("a pick with a deadline of %s took %s", deadline, waited)
 		}
