--- a/cactusproxy.go
+++ b/cactusproxy.go
@@ -1,12 +1,13 @@
-// Package cactusproxy is a load balancer for servers whose load shifts in
-// milliseconds. New makes a daemon from its settings and Run runs it; many
-// daemons fit in one process. The programs in cmd are thin wrappers.
+// Package cactusproxy is an HTTP load balancer for back ends whose load changes
+// within milliseconds. New builds a Daemon, one entry host, from its settings, and
+// Run serves until its context ends. Several daemons can run in one process. The
+// programs in cmd are thin wrappers.
 //
-// The controllers of a daemon share the sections of a blackboard. The request
-// path (entry, dispatch, slots, upstream) reads immutable snapshots of it. It
-// waits for another host or the platform in two places alone, and never beyond
-// the call's deadline: for the grant of a slot, and for the claim of an
-// at-most-once call.
+// The controllers of a daemon share state through the sections of a blackboard.
+// The request path (entry, dispatch, slots, upstream) reads immutable snapshots of
+// it. It blocks on another host or on the platform in only two places, both bounded
+// by the request's deadline: to be granted a slot, and to claim the idempotency key
+// of an at-most-once request.
 package cactusproxy
 
 import (
@@ -36,15 +37,15 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// Platform is what the platform gives, for daemons that do not reach it over
-// HTTP as their settings say.
+// Platform holds the services of the platform. WithPlatform uses it in place of the
+// HTTP client that the settings configure.
 type Platform struct {
 	Table   ports.Table
 	Objects ports.ObjectStore
 	Hosts   ports.HostList
 }
 
-// Option changes how New makes a daemon.
+// Option configures a daemon built by New.
 type Option func(*options)
 
 type options struct {
@@ -55,29 +56,28 @@
 	prober   probes.Prober
 }
 
-// WithLog has the daemon log to this logger; without it nothing is logged.
+// WithLog sets the logger; without it nothing is logged.
 func WithLog(log *zap.Logger) Option {
 	return func(o *options) { o.log = log }
 }
 
-// WithPlatform puts another platform behind the daemon than the settings name.
+// WithPlatform replaces the platform that the settings name.
 func WithPlatform(p Platform) Option {
 	return func(o *options) { o.platform = &p }
 }
 
-// WithUpstream sends attempts to targets in another way than over HTTP.
+// WithUpstream replaces the HTTP transport that sends attempts to targets.
 func WithUpstream(u upstream.RoundTripper) Option {
 	return func(o *options) { o.upstream = u }
 }
 
-// WithProber probes targets in another way than over HTTP.
+// WithProber replaces the HTTP prober of targets.
 func WithProber(p probes.Prober) Option {
 	return func(o *options) { o.prober = p }
 }
 
-// WithLink reaches the other hosts over this link in place of TCP. The daemon
-// then opens no listeners: callers and operators are served by Handler and
-// Operators alone.
+// WithLink replaces the TCP link to the other hosts. The daemon then opens no
+// listeners: callers and operators are served only through Handler and Operators.
 func WithLink(l peer.Link) Option {
 	return func(o *options) { o.link = l }
 }
@@ -116,16 +116,16 @@
 	abort   sync.Once
 }
 
-// listeners are open from New on, so that a port that is taken shows at once
-// and a test can ask for any free one.
+// listeners are opened by New, so that a port in use is reported before Run and a
+// test can bind port 0 and read the address.
 type listeners struct {
 	callers   net.Listener
 	operators net.Listener
 	peers     net.Listener
 }
 
-// New makes a daemon and opens its listeners. Settings come from
-// settings.Load or settings.Parse, which check them. A daemon that is not run
+// New builds a daemon and opens its listeners. The settings must come from
+// settings.Load or settings.Parse, which validate them. A daemon that is not run
 // must be closed.
 func New(s *settings.Settings, opts ...Option) (*Daemon, error) {
 	o := options{log: zap.NewNop()}
@@ -146,7 +146,7 @@
 	return d, nil
 }
 
-// Close frees what New took. Run does so by itself when it ends.
+// Close releases the resources that New acquired. Run calls it on return.
 func (d *Daemon) Close() {
 	for i := len(d.cleanup) - 1; i >= 0; i-- {
 		d.cleanup[i]()
@@ -154,27 +154,27 @@
 	d.cleanup = nil
 }
 
-// Abort ends Run at once, as a crash would: calls in flight are cut off, nobody
-// is told, nothing is handed over.
+// Abort ends Run immediately, as a crash would: requests in flight are dropped, and
+// the other hosts are neither notified nor handed any state.
 func (d *Daemon) Abort() { d.abort.Do(func() { close(d.aborted) }) }
 
-// CallersAddr returns the address that callers use.
+// CallersAddr returns the address that serves callers.
 func (d *Daemon) CallersAddr() string {
 	return addrOf(d.listeners.callers, d.settings.Callers.Addr)
 }
 
-// OperatorsAddr returns the address that operators use.
+// OperatorsAddr returns the address that serves operators.
 func (d *Daemon) OperatorsAddr() string {
 	return addrOf(d.listeners.operators, d.settings.Operators.Addr)
 }
 
-// PeersAddr returns the address that other entry hosts use.
+// PeersAddr returns the address that other entry hosts connect to.
 func (d *Daemon) PeersAddr() string {
 	return addrOf(d.listeners.peers, d.settings.Peers.Addr)
 }
 
-// addrOf returns where a listener listens, or what the settings say if it was
-// not opened.
+// addrOf returns the address of a listener, or the configured address if the
+// listener was not opened.
 func addrOf(l net.Listener, set string) string {
 	if l == nil {
 		return set
@@ -182,14 +182,14 @@
 	return l.Addr().String()
 }
 
-// Handler serves callers.
+// Handler returns the HTTP handler for callers.
 func (d *Daemon) Handler() http.Handler { return d.callers.Server.Handler }
 
-// Operators serves operators.
+// Operators returns the HTTP handler for operators.
 func (d *Daemon) Operators() http.Handler { return d.operators.Handler }
 
 // Metrics returns the daemon's counters.
 func (d *Daemon) Metrics() *metrics.Set { return d.metrics }
 
-// Board returns the daemon's blackboard, for reading.
+// Board returns the daemon's blackboard. Callers must not modify it.
 func (d *Daemon) Board() *blackboard.Board { return d.board }
--- a/comments_test.go
+++ b/comments_test.go
@@ -14,24 +14,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// figures are what a comment tells of a run in place of a reason: a fraction without a
-// unit of time, how many hosts there were, that one figure replaced another.
+// figures matches results of a measurement that a comment gives in place of a reason:
+// a fraction without a unit of time, a number of hosts, or that one figure replaced
+// another.
 var figures = regexp.MustCompile(`\b0\.\d{2,}\b|\b\d{2,} hosts\b|\bin place of \d|, measured\b|\bfleetbench\b`)
 
-// benchmarks are folders of programs that measure: their comments name what they vary.
+// benchmarks are the folders of benchmark code, whose comments may name parameters.
 var benchmarks = []string{"internal/bench", "cmd/cactusbench"}
 
 func TestCommentsTellNoFiguresOfRuns(t *testing.T) {
 	for path, comments := range shippedComments(t) {
 		for _, c := range comments {
 			found := figures.FindString(c)
-			assert.Check(t, found == "", "%s: a comment says %q; figures belong in the commit", path, found)
+			assert.Check(t, found == "", "%s: a comment contains the measured figure %q; figures belong in the commit message", path, found)
 		}
 	}
 }
 
-// shippedComments returns the comments of the code that is no test, by file, each with its
-// line breaks taken out.
+// shippedComments returns the comments of non-test code by file, each joined into one
+// line.
 func shippedComments(t *testing.T) map[string][]string {
 	t.Helper()
 	all := make(map[string][]string)
--- a/leave.go
+++ b/leave.go
@@ -9,7 +9,7 @@
 	"github.com/cactusproxy/cactusproxy/controller/leave"
 )
 
-// defaultDrainLimit bounds a stop unless the settings say otherwise.
+// defaultDrainLimit bounds a graceful stop if the settings give no limit.
 const defaultDrainLimit = 10 * time.Minute
 
 func (d *Daemon) provisionLeave() {
@@ -27,11 +27,12 @@
 	})
 }
 
-// stop leaves gracefully. The error says that calls were cut off.
+// stop shuts the daemon down gracefully. It returns an error if requests in flight
+// were cut off.
 func (d *Daemon) stop(ctx context.Context) error {
 	report := d.leave.Stop(ctx)
 	if report.Cut {
-		return errors.Newf("stop cut off %d calls", report.Left)
+		return errors.Newf("graceful stop cut off %d requests in flight", report.Left)
 	}
 	return nil
 }
--- a/limit_test.go
+++ b/limit_test.go
@@ -14,19 +14,19 @@
 	"github.com/cactusproxy/cactusproxy/internal/standin/target"
 )
 
-// catalogue is three coordinated hosts and three targets of one service.
-type catalogue struct {
+// catalogueCluster is three coordinated hosts and three targets of one service.
+type catalogueCluster struct {
 	hosts   []*lab.Host
 	targets []*lab.Target
 }
 
-func newCatalogue(t *testing.T) *catalogue {
+func newCatalogue(t *testing.T) *catalogueCluster {
 	l, err := lab.New(lab.Options{})
 	assert.NilError(t, err)
 	t.Cleanup(l.Close)
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	d := new(catalogue)
+	d := new(catalogueCluster)
 	for i := range 3 {
 		h, err := l.AddHost(fmt.Sprint("entry-", i), "zone-a")
 		assert.NilError(t, err)
@@ -49,8 +49,8 @@
 	return d
 }
 
-// browse sends a read through one of the hosts.
-func (d *catalogue) browse(t *testing.T, host int) lab.Response {
+// browse sends a read request through one of the hosts.
+func (d *catalogueCluster) browse(t *testing.T, host int) lab.Response {
 	addr := d.hosts[host%len(d.hosts)].CallersAddr()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+addr+"/subasta-verde/catalogue/lots", nil)
 	assert.Check(t, err)
@@ -59,8 +59,8 @@
 	return r
 }
 
-// Guards against coordinated hosts that come back, with calls or probes, to a target that asked
-// them for rest.
+// Guards against coordinated hosts that send requests or probes to a target before the
+// Retry-After time that it asked for has passed.
 func TestCoordinatedHostsLetTargetsRest(t *testing.T) {
 	const rest = 3 * time.Second
 	d := newCatalogue(t)
@@ -72,19 +72,20 @@
 	}
 	s := tg.Status()
 	t.Logf("%d calls, %d probes", s.ShedCalls, s.Probes)
-	// Rest is asked of each host by itself: of each, the first comes.
+	// The target tells each host separately, so that one request of each may arrive.
 	assert.Check(t, s.ShedCalls >= 1 && s.ShedCalls <= len(d.hosts), "%d calls", s.ShedCalls)
 	assert.Check(t, s.Probes <= 1, "%d probes", s.Probes)
 }
 
-// Guards against a coordinator that grants a target more than the limit it names.
+// Guards against a coordinator that grants more requests to a target than the rate limit
+// that the target announces.
 func TestCoordinatedHostsKeepTheLimitsThatTargetsName(t *testing.T) {
 	const (
-		limit   = 2.0 // requests a second that each of three targets names
-		allowed = 17  // in 4 s: half as many again, and 5
+		limit   = 2.0 // requests per second that each of the three targets announces
+		allowed = 17  // in 4 s: 1.5 times the limit, plus 5
 		every   = 40 * time.Millisecond
 		span    = 4 * time.Second
-		stable  = time.Second // all hosts have heard of the limit
+		stable  = time.Second // after this time all hosts know the limit
 	)
 	d := newCatalogue(t)
 	for _, tg := range d.targets {
@@ -114,16 +115,16 @@
 				at = append(at, r.Started)
 			}
 		}
-		got := mostWithin(span, at)
+		got := maxWithin(span, at)
 		t.Logf("%s: %d in 4 s", tg.ID, got)
 		assert.Check(t, got <= allowed, "%s: %d", tg.ID, got)
 	}
-	// Most of what the targets take is used.
+	// Most of the permitted capacity must be used.
 	assert.Check(t, float64(told["answered/ok"]) > 0.7*3*limit*span.Seconds(), "%v", told)
 }
 
-// mostWithin returns the most moments within any span of a length.
-func mostWithin(span time.Duration, at []time.Time) (most int) {
+// maxWithin returns the largest number of timestamps within any window of length span.
+func maxWithin(span time.Duration, at []time.Time) (most int) {
 	for _, from := range at {
 		n := 0
 		for _, other := range at {
--- a/probesource.go
+++ b/probesource.go
@@ -9,7 +9,8 @@
 	"github.com/cactusproxy/cactusproxy/slots"
 )
 
-// probeSource lets the prober ask the coordinator which targets to probe.
+// probeSource is the probes.Source that takes its candidates from the coordinator
+// of slots.
 type probeSource struct{ slots *slots.Slots }
 
 var _ probes.Source = probeSource{}
@@ -24,8 +25,8 @@
 	return out
 }
 
-// Probed implements probes.Source. The latency of a probe says little of that of
-// calls, so it is left out.
+// Probed implements probes.Source. It ignores the latency of the probe, which does
+// not predict that of requests.
 func (p probeSource) Probed(key blackboard.ServiceKey, id ports.HostID, ok bool, load int, _ time.Duration) {
 	p.slots.Probed(key, id, ok, load)
 }
--- a/provision.go
+++ b/provision.go
@@ -29,7 +29,7 @@
 	"github.com/cactusproxy/cactusproxy/upstream"
 )
 
-// Defaults of settings that are left out.
+// Defaults for omitted settings.
 const (
 	defaultMaxHeader   = 64 << 10  // bytes
 	defaultBodyMemory  = 128 << 20 // bytes
@@ -38,8 +38,9 @@
 	defaultDialTimeout = time.Second
 )
 
-// provision makes the daemon's parts, from the listeners inwards. Handlers of
-// peer messages are registered here, before the link serves.
+// provision builds the components of the daemon in dependency order, starting with
+// the listeners. The components register their handlers of peer messages here,
+// before the link starts to serve.
 func (d *Daemon) provision(o options) error {
 	d.incarnation = membership.NewIncarnation(time.Now())
 	d.cleanup = append(d.cleanup, func() { _ = d.board.Close() })
@@ -166,7 +167,7 @@
 		Host:        d.self(),
 		Incarnation: d.incarnation,
 		Link:        d.link,
-		Peers:       d.peers(),
+		Peers:       d.peerSetter(),
 		Board:       d.board,
 		List:        d.platform.Hosts,
 		OnList:      d.targets.ApplyList,
@@ -175,7 +176,7 @@
 	})
 	d.quarantine = quarantine.New(quarantine.Deps{
 		Link:    d.link,
-		Members: d.roleHolders,
+		Members: d.eligibleMembers,
 		Metrics: d.metrics,
 		Log:     d.log,
 	})
@@ -194,7 +195,8 @@
 		Board:  d.board,
 		Link:   d.link,
 		Zone:   d.settings.Host.Zone,
-		// Whoever reaches most other hosts may count for a target.
+		// This daemon does not watch a store, so that it may account for the limits
+		// of targets only if it reaches most of the other hosts.
 		Watched:   func() bool { return false },
 		OnLeaving: func(key blackboard.ServiceKey, t blackboard.Target) { d.markLeaving(key, t.ID) },
 		Metrics:   d.metrics,
@@ -221,22 +223,23 @@
 		Budget:  d.budget,
 		Prober:  prober,
 		Leaving: d.markLeaving,
-		Heard:   d.heard,
+		Heard:   d.recordSignals,
 		Resting: d.picker.Resting,
 		Metrics: d.metrics,
 		Log:     d.log,
 	})
 }
 
-// peers learns the addresses of the other hosts.
-func (d *Daemon) peers() membership.PeerSetter {
+// peerSetter returns what receives the addresses of the other hosts, or nil if the
+// link was supplied by WithLink.
+func (d *Daemon) peerSetter() membership.PeerSetter {
 	if d.node == nil {
 		return nil
 	}
 	return d.node
 }
 
-// self is this host as the others shall know it.
+// self returns the entry of this host in the list of members.
 func (d *Daemon) self() ports.Host {
 	peerAddr := d.settings.Peers.Advertise
 	if peerAddr == "" {
@@ -253,13 +256,14 @@
 	}
 }
 
-// coordinator gives a service's slots to one of the live hosts.
+// coordinator picks the live host that allocates the slots of a service, by
+// rendezvous hashing.
 func coordinator(key blackboard.ServiceKey, m *blackboard.Members) (ports.HostID, bool) {
 	owner, ok := rendezvous.Owner(key.String(), m.Members)
 	return owner.Host.ID, ok
 }
 
-func (d *Daemon) roleHolders() []ports.HostID {
+func (d *Daemon) eligibleMembers() []ports.HostID {
 	var ids []ports.HostID
 	for _, m := range d.board.Members.Load().Eligible() {
 		ids = append(ids, m.Host.ID)
@@ -267,13 +271,15 @@
 	return ids
 }
 
-// heard takes in what a target says of itself.
-func (d *Daemon) heard(key blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals) {
+// recordSignals records the load signals that a target reported about itself.
+func (d *Daemon) recordSignals(
+	key blackboard.ServiceKey, t blackboard.Target, s targetapi.Signals,
+) {
 	d.picker.Heard(key, t, s)
 }
 
-// markLeaving notes that a target's own answer said that it is to stop; the
-// targets controller tells the other hosts.
+// markLeaving records that a target announced its shutdown in a response. The
+// targets controller notifies the other hosts.
 func (d *Daemon) markLeaving(key blackboard.ServiceKey, id ports.HostID) {
 	d.board.Targets.Update(func(old *blackboard.Targets) (*blackboard.Targets, bool) {
 		return old.WithLeaving(key, ports.RunID(id), time.Now())
@@ -292,7 +298,7 @@
 		Ledger:     d.ledger,
 		Quarantine: d.quarantine,
 		Metrics:    d.metrics,
-		Heard:      d.heard,
+		Heard:      d.recordSignals,
 	})
 	memory := d.settings.Callers.BodyMemoryBytes
 	if memory == 0 {
@@ -316,7 +322,7 @@
 		ReadHeaderTimeout: d.settings.Callers.ReadHeaderTimeout.Or(defaultReadHeader),
 		IdleTimeout:       d.settings.Callers.IdleTimeout.Or(defaultIdle),
 		ErrorLog:          zap.NewStdLog(d.log),
-		// OPTIONS * is a request like any other: net/http would answer it with 200.
+		// OPTIONS * is routed like any other request; net/http would answer it with 200.
 		DisableGeneralOptionsHandler: true,
 	}
 	d.answers = entry.NewOwnAnswers(d.log, d.metrics, targetapi.Default().RequestID)
--- a/provision_ledger.go
+++ b/provision_ledger.go
@@ -13,10 +13,10 @@
 	"github.com/cactusproxy/cactusproxy/settings"
 )
 
-// Defaults of settings that are left out.
+// Defaults for omitted settings.
 const (
 	defaultKeyWindow = 24 * time.Hour
-	defaultWrites    = 300.0 // transactions a second
+	defaultWriteRate = 300.0 // transactions per second
 )
 
 func (d *Daemon) provisionLedger(options) error {
@@ -26,8 +26,8 @@
 	}
 	opts := ledger.Options{
 		Retention: d.settings.Keys.Window.Or(defaultKeyWindow),
-		WriteRate: d.ownWrites(),
-		PoolRate:  pooledWrites * d.writes(),
+		WriteRate: d.hostWriteRate(),
+		PoolRate:  pooledWriteShare * d.claimWriteRate(),
 	}
 	if key != nil {
 		opts.ClusterKeys = [][]byte{key}
@@ -45,43 +45,50 @@
 	return nil
 }
 
-// pooledWrites is the part of the table's transactions that the coordinator of
-// the ledger has for the claims of all hosts; the rest is shared evenly, so that
-// hosts that do not reach it can claim by themselves.
-const pooledWrites = 0.6
+// pooledWriteShare is the share of the table's transactions reserved for the ledger
+// coordinator, which commits claims on behalf of all hosts. The rest is divided
+// evenly among the hosts, so that a host that cannot reach the coordinator can still
+// commit claims by itself.
+const pooledWriteShare = 0.6
 
-// writes is the transactions a second that claims may use, over all hosts.
-func (d *Daemon) writes() float64 {
+// claimWriteRate returns the transactions per second that claims may use, summed
+// over all hosts.
+func (d *Daemon) claimWriteRate() float64 {
 	if n := d.settings.Platform.WritesPerSecond; n > 0 {
 		return float64(n)
 	}
-	return defaultWrites
+	return defaultWriteRate
 }
 
-// ownWrites is this host's even share. It counts all hosts that may be at work,
-// so that the shares never add up to more than the whole.
-func (d *Daemon) ownWrites() float64 {
+// hostWriteRate returns this host's even share of the claim write rate, in
+// transactions per second. It counts every member, live or not, so that the shares
+// never add up to more than the total.
+func (d *Daemon) hostWriteRate() float64 {
 	hosts := max(1, len(d.board.Members.Load().Members))
-	return (1 - pooledWrites) * d.writes() / float64(hosts)
+	return (1 - pooledWriteShare) * d.claimWriteRate() / float64(hosts)
 }
 
-// ledgerCoordinator is the host that commits the claims of all hosts. No safety
-// hangs on it: the table decides who holds a key.
+// ledgerCoordinator returns the host that commits claims on behalf of all hosts.
+// Correctness does not depend on hosts agreeing on it: the table decides which host
+// holds a key.
 func (d *Daemon) ledgerCoordinator() ports.HostID {
 	owner, _ := rendezvous.Owner("ledger", d.board.Members.Load().Members)
 	return owner.Host.ID
 }
 
-// shareWrites keeps this host's share of the table's writes as hosts come and go.
-func (d *Daemon) shareWrites(ctx context.Context) error {
-	return d.board.Members.Watch(ctx, func(*blackboard.Members) { d.ledger.SetWriteRate(d.ownWrites()) })
+// updateWriteRate adjusts this host's share of the table's writes whenever the
+// membership changes, until ctx ends.
+func (d *Daemon) updateWriteRate(ctx context.Context) error {
+	return d.board.Members.Watch(ctx, func(*blackboard.Members) {
+		d.ledger.SetWriteRate(d.hostWriteRate())
+	})
 }
 
-// releaseClaims waits until what became of every claim is written down, so that
-// later sends of the same keys get their answers.
+// releaseClaims waits until the result of every claim is stored, so that later
+// requests with the same keys get the stored responses.
 func (d *Daemon) releaseClaims(ctx context.Context) error {
 	if !d.ledger.Drain(ctx) {
-		return errors.New("claims not written down")
+		return errors.New("results of claims were not all stored before the stop timed out")
 	}
 	return nil
 }
--- a/random_test.go
+++ b/random_test.go
@@ -27,7 +27,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// The same histories in every run, unless asked for others.
+	// Generate the same histories in every run unless a seed is given.
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
 		_ = flag.Set("rapid.seed", "1")
 	}
@@ -35,7 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// Sizes of a history.
+// Bounds of a generated history.
 const (
 	randomHosts   = 3
 	randomTargets = 3
@@ -43,13 +43,13 @@
 	randomSteps   = 40
 )
 
-// opKind is one thing that happens.
+// opKind is the kind of a step.
 type opKind int
 
 const (
-	opOrder opKind = iota // a call under one of a few keys
-	opBurst               // the same key through every host at once
-	opIssue               // a host issues a key, which takes the place of another
+	opOrder opKind = iota // a request with one of a few idempotency keys
+	opBurst               // requests with the same key through every host at once
+	opIssue               // a host issues a key, which replaces another one
 	opBrowse
 	opTargetState
 	opStoreDown
@@ -63,7 +63,8 @@
 	opKinds
 )
 
-// op is a step of a history, drawn beforehand so that rapid can shrink it.
+// op is a step of a history. All steps are generated in advance so that rapid can
+// shrink a failing history.
 type op struct {
 	Kind  opKind
 	Wait  time.Duration
@@ -84,18 +85,18 @@
 	}
 }
 
-// send is one call of the history and what its caller was told.
+// send is one request of the history and the reply to it.
 type send struct {
 	req        vlab.Request
 	begun, end time.Time
 	reply      vlab.Reply
 }
 
-// history plays a script on whole daemons and keeps what was seen.
+// history runs a script against complete daemons and records what was observed.
 type history struct {
 	lab     *vlab.Lab
 	keyFile string
-	// breakTable puts a broken table in place of the platform's.
+	// breakTable, if set, replaces the platform's table with a faulty one.
 	breakTable func(ports.Table) ports.Table
 	wg         sync.WaitGroup
 
@@ -115,7 +116,7 @@
 	h.problems = append(h.problems, fmt.Sprintf(format, args...))
 }
 
-// start begins a deployment with one workspace in force.
+// start creates a deployment with one workspace in force.
 func (h *history) start() {
 	h.lab = vlab.New(h.keyFile)
 	if h.breakTable != nil {
@@ -138,7 +139,7 @@
 	time.Sleep(2 * time.Second)
 }
 
-// replace starts a new host in a place whose host is gone.
+// replace starts a new host at the index of a host that has ended.
 func (h *history) replace(place int) {
 	h.nextHost++
 	id := fmt.Sprintf("h%d", h.nextHost)
@@ -186,7 +187,7 @@
 	}
 }
 
-// stop ends a host gracefully; calls that are in flight through it must end.
+// stop ends a host gracefully; requests in flight through it must complete.
 func (h *history) stop(place int) {
 	id := h.hosts[place]
 	if err := h.lab.Stop(id); err != nil {
@@ -216,7 +217,7 @@
 	})
 }
 
-// apply is an operator who bases the change on what its host has in force.
+// apply submits a change based on the version that the host has in force.
 func (h *history) apply(o op) {
 	d := h.lab.Daemon(h.hosts[o.Host])
 	ws, ok := d.Board().Config.Load().Workspace("w")
@@ -241,8 +242,8 @@
 	})
 }
 
-// finish ends all faults, gives the hosts time to settle and checks what was
-// seen.
+// finish ends all faults, gives the hosts time to recover and checks what was
+// observed.
 func (h *history) finish() {
 	h.lab.Net.Heal()
 	h.lab.Store.SetFaults(store.Faults{Delay: 5 * time.Millisecond})
@@ -257,7 +258,7 @@
 	h.lab.Close()
 }
 
-// checkConfig: an accepted change is in force on every host.
+// checkConfig checks that the newest accepted change is in force on every host.
 func (h *history) checkConfig() {
 	for _, id := range h.lab.Hosts() {
 		d := h.lab.Daemon(id)
@@ -270,8 +271,8 @@
 	}
 }
 
-// checkRuns: each key ran at most once, and where not-run was told no send that
-// had begun by then ran, before or after.
+// checkRuns checks that each key ran at most once, and that after a not-run reply no
+// request with the key that had been sent by then ran, before or after the reply.
 func (h *history) checkRuns() {
 	begun := make(map[string]time.Time)
 	for _, s := range h.sends {
@@ -300,8 +301,8 @@
 	}
 }
 
-// checkAnswers: a fresh answer belongs to the request; a stored one to an
-// earlier send of the same key.
+// checkAnswers checks that a fresh response belongs to its request, and a stored one
+// to a request with the same key.
 func (h *history) checkAnswers() {
 	keyOf := make(map[string]string)
 	for _, s := range h.sends {
@@ -323,7 +324,7 @@
 	}
 }
 
-// play runs a script from its start to the checks.
+// play runs a script in virtual time and checks the result.
 func (h *history) play(t *testing.T, script []op) {
 	synctest.Test(t, func(*testing.T) {
 		h.start()
@@ -341,10 +342,10 @@
 	return file
 }
 
-// forgetfulTable takes every insert, as if no row were there.
-type forgetfulTable struct{ ports.Table }
+// overwritingTable accepts every insert, as if the row did not exist.
+type overwritingTable struct{ ports.Table }
 
-func (f forgetfulTable) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
+func (f overwritingTable) Commit(ctx context.Context, ops ...ports.Op) (ports.CommitResult, error) {
 	for i := range ops {
 		if ops[i].Kind == ports.OpInsert {
 			ops[i].Kind = ports.OpPut
@@ -353,11 +354,11 @@
 	return f.Table.Commit(ctx, ops...)
 }
 
-// The check of the histories can fail: with a table that lets two hosts insert
-// the same claim, the second send of a purchase runs it again, and it says so.
+// Guards against checks that pass whatever happens: with a table that lets two hosts
+// insert the same claim, a repeated request runs twice, and the checks must report it.
 func TestRandomHistoriesCatchATableThatForgets(t *testing.T) {
 	h := &history{keyFile: clusterKey(t)}
-	h.breakTable = func(inner ports.Table) ports.Table { return forgetfulTable{inner} }
+	h.breakTable = func(inner ports.Table) ports.Table { return overwritingTable{inner} }
 	var broken atomic.Int64
 	invariant.SetHandler(func(name invariant.Name, _ string) {
 		if name == invariant.AtMostOnce {
@@ -367,16 +368,16 @@
 	})
 	defer invariant.SetHandler(nil)
 	h.play(t, []op{{Kind: opBurst}, {Kind: opOrder, Host: 1, Wait: time.Second}})
-	assert.Check(t, broken.Load() > 0, "no invariant broke")
-	assert.Check(t, len(h.problems) > 0, "the check of the histories saw nothing")
+	assert.Check(t, broken.Load() > 0, "no invariant was reported as broken")
+	assert.Check(t, len(h.problems) > 0, "the checks found no violation")
 	assert.Check(t, strings.Contains(h.problems[0], "ran"), "%v", h.problems)
 }
 
-// Callers order and browse through any host, two of them under the same keys,
-// while targets shed, drain, break off and go down, the store is out or loses
-// answers, hosts crash, stop and are replaced, the links between them are cut,
-// and operators change the configuration. Whatever the order, what must always
-// hold holds.
+// Guards against violations of the invariants under any order of faults: callers send
+// keyed and plain requests through any host, some under the same keys, while targets
+// shed load, drain, drop connections and go down, the store fails or loses replies,
+// hosts crash, stop and are replaced, links between them are cut, and operators change
+// the configuration.
 func TestRandomHistories(t *testing.T) {
 	keyFile := clusterKey(t)
 	told := make(map[string]int)
--- a/reload.go
+++ b/reload.go
@@ -6,12 +6,12 @@
 	"github.com/cactusproxy/cactusproxy/settings"
 )
 
-// Reload takes note of settings that were read again. They are fixed while the
-// daemon runs: a change waits for the next start, which the log says.
+// Reload logs the result of reading the settings file again. The settings of a
+// running daemon are fixed: changes take effect only after a restart.
 func (d *Daemon) Reload(c settings.Change) {
 	if c.Err != nil {
-		d.log.Error("settings refused, the old ones stay", zap.Error(c.Err))
+		d.log.Error("invalid settings; keeping the previous ones", zap.Error(c.Err))
 		return
 	}
-	d.log.Info("settings read again; changes wait for the next start")
+	d.log.Info("settings read again; changes take effect after a restart")
 }
--- a/run.go
+++ b/run.go
@@ -11,18 +11,20 @@
 	"github.com/cactusproxy/cactusproxy/internal/daemon"
 )
 
-// ErrAborted is what Run returns after Abort.
+// ErrAborted is returned by Run after Abort.
 var ErrAborted = errors.New("daemon aborted")
 
-// Run serves until ctx ends, then stops without cutting off a call, and returns
-// nil if every call in flight had its whole answer.
+// Run serves until ctx ends, then stops gracefully. It returns nil if every request
+// in flight received its complete response.
 func (d *Daemon) Run(ctx context.Context) error {
 	defer d.Close()
-	return daemon.Run(ctx, d.start, func(work context.Context) error { return d.await(ctx, work) })
+	return daemon.Run(ctx, d.start, func(work context.Context) error {
+		return d.waitForStop(ctx, work)
+	})
 }
 
-// await returns once the daemon has stopped, or a part has failed.
-func (d *Daemon) await(ctx, work context.Context) error {
+// waitForStop blocks until the daemon has stopped or a component has failed.
+func (d *Daemon) waitForStop(ctx, work context.Context) error {
 	d.log.Info("listening",
 		zap.String("callers", d.CallersAddr()),
 		zap.String("operators", d.OperatorsAddr()),
@@ -34,13 +36,13 @@
 	case <-d.leave.Requested():
 		return d.stop(work)
 	case <-work.Done():
-		return nil // what the part returned ends Run
+		return nil // Run returns the error of the failed component
 	case <-d.aborted:
 		return ErrAborted
 	}
 }
 
-// start runs all parts until work ends.
+// start runs all components until work ends.
 func (d *Daemon) start(work context.Context, g *errgroup.Group) {
 	for _, part := range []func(context.Context) error{
 		d.members.Run,
@@ -50,7 +52,7 @@
 		d.budget.Run,
 		d.probes.Run,
 		d.picker.Run,
-		d.shareWrites,
+		d.updateWriteRate,
 		d.ledger.Run,
 		d.quarantine.Run,
 		daemon.Upkeep{Board: d.board, Pools: d.pools, Quarantine: d.quarantine}.Run,
@@ -70,11 +72,11 @@
 	})
 }
 
-// InFlight returns the number of calls that have not had their whole reply.
+// InFlight returns the number of requests whose response is not yet complete.
 func (d *Daemon) InFlight() int64 { return d.entry.InFlight() }
 
-// Apply commits an operator's change through this host, as its operators'
-// listener does.
+// Apply commits a configuration change through this host, as a request to its
+// operators' listener would.
 func (d *Daemon) Apply(ctx context.Context, req config.ApplyRequest) config.Outcome {
 	return d.config.Apply(ctx, req)
 }
--- a/script_test.go
+++ b/script_test.go
@@ -8,8 +8,8 @@
 	"github.com/cactusproxy/cactusproxy/internal/scenario"
 )
 
-// TestScripts runs the scenarios, one file for each promise and failure. The
-// language is documented in package internal/scenario.
+// TestScripts runs the scenarios of testdata/script, one file per guarantee or failure
+// mode. Package internal/scenario documents the script commands.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, scenario.Params("testdata/script", "examples"))
 }
--- a/tls_test.go
+++ b/tls_test.go
@@ -29,7 +29,7 @@
 	"github.com/cactusproxy/cactusproxy/settings"
 )
 
-// authority is a certificate authority of a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -64,7 +64,7 @@
 
 func (a *authority) file(name string) string { return filepath.Join(a.dir, name) }
 
-// issue makes a certificate for 127.0.0.1.
+// issue writes a key and a certificate for 127.0.0.1.
 func (a *authority) issue(name string) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(a.t, err)
@@ -81,7 +81,7 @@
 	a.write(name+".key", "PRIVATE KEY", raw)
 }
 
-// startSecure starts a host with TLS on every listener, mutual between hosts.
+// startSecure starts a host with TLS on every listener, and mutual TLS between hosts.
 func startSecure(t *testing.T, a *authority, s *store.Store, id string) *cactusproxy.Daemon {
 	t.Helper()
 	a.issue(id)
@@ -117,8 +117,8 @@
 
 func liveMembers(d *cactusproxy.Daemon) int { return len(d.Board().Members.Load().Eligible()) }
 
-// eventually waits for a condition; a test that hangs here is ended by go test.
-func eventually(holds func() bool) {
+// waitUntil polls a condition without a limit of its own; go test's timeout applies.
+func waitUntil(holds func() bool) {
 	for !holds() {
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -129,7 +129,7 @@
 	s := store.New(store.Limits{})
 	one := startSecure(t, a, s, "entry-1")
 	two := startSecure(t, a, s, "entry-2")
-	eventually(func() bool { return framesIn(one) > 0 && framesIn(two) > 0 })
+	waitUntil(func() bool { return framesIn(one) > 0 && framesIn(two) > 0 })
 	assert.Equal(t, liveMembers(one), 2)
 
 	pool := x509.NewCertPool()
@@ -162,19 +162,18 @@
 	return c
 }
 
-// framesIn is the number of frames that other hosts got through to a host.
+// framesIn returns the number of frames that a host received from other hosts.
 func framesIn(d *cactusproxy.Daemon) int {
 	return counterOf(d, "peer", "frames_in")
 }
 
-// The hosts refuse each other and no frame gets through: each has a certificate
-// of another authority, as a program would that reached the peers' listener
-// without belonging there.
+// Guards against accepting frames from peers outside the cluster: two hosts whose
+// certificates come from different authorities must refuse each other's handshakes.
 func TestHostOfAnotherAuthorityIsRefused(t *testing.T) {
 	s := store.New(store.Limits{})
 	one := startSecure(t, newAuthority(t), s, "entry-1")
 	two := startSecure(t, newAuthority(t), s, "entry-2")
-	eventually(func() bool {
+	waitUntil(func() bool {
 		return counterOf(one, "peer", "handshake_failed") > 0 && counterOf(two, "peer", "handshake_failed") > 0
 	})
 	assert.Equal(t, framesIn(one), 0)
